--- a/include/mimosahollow/coordination/coordinationstate.h
+++ b/include/mimosahollow/coordination/coordinationstate.h
@@ -30,7 +30,7 @@
 };
 
 /** A proposal of this leader whose sender waits for the result. */
-struct AwaitedProposal
+struct PendingProposal
 {
     control::Term term = 0;
     std::string peer;
@@ -38,7 +38,7 @@
 };
 
 /** A change that is committed and waits until it is in force everywhere. */
-struct AwaitedForce
+struct UnacknowledgedChange
 {
     control::LogIndex index = 0;
     std::string peer;
@@ -52,10 +52,10 @@
     control::ConsensusState consensus;
     control::ControlState control;
     std::optional<membership::LeaderState> leader; /**< Present while this voter leads. */
-    std::map<control::LogIndex, AwaitedProposal> proposals;
-    std::deque<AwaitedForce> awaitedForce;
+    std::map<control::LogIndex, PendingProposal> proposals;
+    std::deque<UnacknowledgedChange> unacknowledgedChanges;
     std::map<std::uint64_t, TimePoint> reads; /**< Start times of leadership confirmations. */
-    std::set<PoolId> assigning; /**< An assignment is in the log and not yet applied. */
+    std::set<PoolId> pendingAssignments; /**< An assignment is in the log and not yet applied. */
     control::LogIndex snapshotIndex = 0; /**< Newest snapshot made or being made. */
 };
 
@@ -83,8 +83,8 @@
     TimePoint nextRenewal{};
     TimePoint nextAssignment{};
     TimePoint nextRegistration{};
-    TimePoint freshReported{};
-    std::map<PoolId, TimePoint> leasesReported;
+    TimePoint reportedFreshUntil{};
+    std::map<PoolId, TimePoint> reportedLeaseEnds;
     std::int64_t wallClock = 0; /**< Milliseconds since 1970 at the last tick; only for records. */
     bool leaving = false;
 };
--- a/include/mimosahollow/coordination/options.h
+++ b/include/mimosahollow/coordination/options.h
@@ -20,7 +20,7 @@
     std::vector<std::string> voters; /**< Names; the position plus one is the voter's number. */
     membership::LeaseTimes times;
     std::uint64_t seed = 0;
-    std::shared_ptr<const control::Configuration> firstBundle; /**< Put in force by the first leader of an empty fleet; may be null. */
+    std::shared_ptr<const control::Configuration> initialBundle; /**< Put in force by the first leader of an empty fleet; may be null. */
 };
 
 } // namespace mimosahollow::coordination
--- a/src/app/controlthread.cpp
+++ b/src/app/controlthread.cpp
@@ -65,7 +65,7 @@
         }
         m_state = std::get<coordination::CoordinationState>(std::move(made));
     } else {
-        m_state = coordination::makeFollower(m_options, now);
+        m_state = coordination::makeNonVoter(m_options, now);
     }
     m_thread = std::thread([this] {
         run();
--- a/src/app/instance.cpp
+++ b/src/app/instance.cpp
@@ -90,7 +90,7 @@
     options.voters = settings.voters.empty() ? std::vector<std::string>{settings.instanceName} : settings.voters;
     options.times.freshness = settings.freshnessTime;
     options.seed = randomNumber();
-    options.firstBundle = readFirstBundle(settings);
+    options.initialBundle = readFirstBundle(settings);
     return options;
 }
 
--- a/src/coordination/commands.cpp
+++ b/src/coordination/commands.cpp
@@ -11,22 +11,23 @@
 // An election takes up to about 600 ms; resending more often only adds messages.
 constexpr Duration resendInterval = milliseconds(300);
 constexpr Duration registrationInterval = seconds(1);
-constexpr Duration registrationPatience = seconds(10);
+constexpr Duration registrationTimeout = seconds(10);
 // First byte of a reply: whether the change is known to be in force everywhere.
-constexpr std::uint8_t inForceMark = 1;
+constexpr std::uint8_t inForceEverywhereFlag = 1;
 
-void finish(CoordinationState &state, std::uint64_t sequence, CommandState end, const control::CommandResult &result, bool inForce, Actions &actions)
+void finishCommand(
+    CoordinationState &state, std::uint64_t sequence, CommandState finalState, const control::CommandResult &result, bool inForceEverywhere, Actions &actions)
 {
     const auto found = state.commands.find(sequence);
     if (found == state.commands.end()) {
         return;
     }
-    actions.push_back(CommandDone{found->second.ticket, end, result, inForce});
+    actions.push_back(CommandDone{found->second.ticket, finalState, result, inForceEverywhere});
     state.commands.erase(found);
 }
 
 /** Whether a resent command has its place in the log already, so that resending during a long wait does not fill the log. */
-bool isBeingHandled(const VoterState &voter, std::string_view peer, std::uint64_t sequence)
+bool isPending(const VoterState &voter, std::string_view peer, std::uint64_t sequence)
 {
     const auto matches = [&](const auto &awaited) {
         return awaited.peer == peer && awaited.sequence == sequence;
@@ -34,7 +35,7 @@
     const bool proposed = std::any_of(voter.proposals.begin(), voter.proposals.end(), [&](const auto &entry) {
         return matches(entry.second);
     });
-    return proposed || std::any_of(voter.awaitedForce.begin(), voter.awaitedForce.end(), matches);
+    return proposed || std::any_of(voter.unacknowledgedChanges.begin(), voter.unacknowledgedChanges.end(), matches);
 }
 
 /** Proposes the command here when this voter leads, otherwise sends it towards the leader. */
@@ -43,14 +44,14 @@
     OutstandingCommand &outstanding = state.commands.at(sequence);
     outstanding.sendAt = now + resendInterval;
     if (isLeader(state)) {
-        if (isBeingHandled(*state.voter, state.options.name, sequence)) {
+        if (isPending(*state.voter, state.options.name, sequence)) {
             return;
         }
         outstanding.sent = true;
         const control::Command command = outstanding.command;
-        const auto place = proposeCommand(state, command, now, actions);
-        if (place) {
-            state.voter->proposals[place->index] = {place->term, state.options.name, sequence};
+        const auto position = proposeCommand(state, command, now, actions);
+        if (position) {
+            state.voter->proposals[position->index] = {position->term, state.options.name, sequence};
         }
         return;
     }
@@ -71,21 +72,21 @@
     command.id = makeCommandId(state);
     command.sender = state.options.name;
     command.body = control::RegisterInstance{state.options.name, state.options.failureDomain, state.options.linkAddress, state.options.incarnation};
-    submit(state, 0, std::move(command), registrationPatience, now, actions);
+    submit(state, 0, std::move(command), registrationTimeout, now, actions);
 }
 
 } // namespace
 
-void submit(CoordinationState &state, std::uint64_t ticket, control::Command command, Duration patience, TimePoint now, Actions &actions)
+void submit(CoordinationState &state, std::uint64_t ticket, control::Command command, Duration timeout, TimePoint now, Actions &actions)
 {
     const std::uint64_t sequence = state.nextSequence++;
-    state.commands[sequence] = {ticket, std::move(command), now + patience, now, false};
+    state.commands[sequence] = {ticket, std::move(command), now + timeout, now, false};
     sendCommand(state, sequence, now, actions);
 }
 
 void onCommand(CoordinationState &state, const std::string &peer, const membership::Command &command, TimePoint now, Actions &actions)
 {
-    if (!isLeader(state) || isBeingHandled(*state.voter, peer, command.sequence)) {
+    if (!isLeader(state) || isPending(*state.voter, peer, command.sequence)) {
         return; // the sender sends again when it knows the leader
     }
     auto decoded = link::decodeCommand(command.payload);
@@ -94,20 +95,20 @@
         replyToCommand(state, peer, command.sequence, {control::CommandOutcome::Invalid, "the command cannot be decoded", 0, ""}, false, actions);
         return;
     }
-    const auto place = proposeCommand(state, std::move(*content), now, actions);
-    if (place) {
-        state.voter->proposals[place->index] = {place->term, peer, command.sequence};
+    const auto position = proposeCommand(state, std::move(*content), now, actions);
+    if (position) {
+        state.voter->proposals[position->index] = {position->term, peer, command.sequence};
     }
 }
 
 void replyToCommand(
-    CoordinationState &state, const std::string &peer, std::uint64_t sequence, const control::CommandResult &result, bool inForce, Actions &actions)
+    CoordinationState &state, const std::string &peer, std::uint64_t sequence, const control::CommandResult &result, bool inForceEverywhere, Actions &actions)
 {
     if (peer == state.options.name) {
-        finish(state, sequence, CommandState::Done, result, inForce, actions);
+        finishCommand(state, sequence, CommandState::Done, result, inForceEverywhere, actions);
         return;
     }
-    control::Bytes payload{inForce ? inForceMark : std::uint8_t{0}};
+    control::Bytes payload{inForceEverywhere ? inForceEverywhereFlag : std::uint8_t{0}};
     const control::Bytes encoded = link::encode(result);
     payload.insert(payload.end(), encoded.begin(), encoded.end());
     send(state, peer, membership::CommandReply{sequence, std::move(payload)}, actions);
@@ -121,25 +122,25 @@
     const std::vector<std::uint8_t> encoded(reply.payload.begin() + 1, reply.payload.end());
     const auto decoded = link::decodeCommandResult(encoded);
     if (const auto *result = std::get_if<control::CommandResult>(&decoded)) {
-        finish(state, reply.sequence, CommandState::Done, *result, reply.payload.front() == inForceMark, actions);
+        finishCommand(state, reply.sequence, CommandState::Done, *result, reply.payload.front() == inForceEverywhereFlag, actions);
     }
 }
 
 void tickCommands(CoordinationState &state, TimePoint now, Actions &actions)
 {
     registerInstance(state, now, actions);
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     std::vector<std::uint64_t> due;
     for (const auto &[sequence, outstanding] : state.commands) {
         if (now >= outstanding.deadline) {
-            late.push_back(sequence);
+            expired.push_back(sequence);
         } else if (now >= outstanding.sendAt) {
             due.push_back(sequence);
         }
     }
-    for (const std::uint64_t sequence : late) {
+    for (const std::uint64_t sequence : expired) {
         const bool sent = state.commands.at(sequence).sent;
-        finish(state, sequence, sent ? CommandState::Unknown : CommandState::NotSent, {}, false, actions);
+        finishCommand(state, sequence, sent ? CommandState::Unknown : CommandState::NotSent, {}, false, actions);
     }
     for (const std::uint64_t sequence : due) {
         sendCommand(state, sequence, now, actions);
--- a/src/coordination/coordination.cpp
+++ b/src/coordination/coordination.cpp
@@ -26,7 +26,7 @@
     return state;
 }
 
-control::Membership firstMembers(const Options &options)
+control::Membership initialMembers(const Options &options)
 {
     control::Membership members;
     std::uint32_t number = 0;
@@ -43,13 +43,13 @@
     return static_cast<PoolId>(bucketPoolBase + number(domain));
 }
 
-bool mayVote(const control::DurableLog &durable, const Options &options, bool founding) noexcept
+bool mayVote(const control::DurableLog &durable, const Options &options, bool isNewFleet) noexcept
 {
     const bool empty = durable.term == 0 && durable.entries.empty() && !durable.snapshotData;
-    return !empty || founding || options.voters.size() <= 1;
+    return !empty || isNewFleet || options.voters.size() <= 1;
 }
 
-CoordinationState makeFollower(const Options &options, TimePoint now)
+CoordinationState makeNonVoter(const Options &options, TimePoint now)
 {
     return makeState(options, now);
 }
@@ -68,7 +68,7 @@
     }
     state.voter.emplace(std::move(voter));
     const control::VoterId self = voterId(state, options.name);
-    state.voter->consensus = control::makeConsensus(self, {}, std::move(durable), firstMembers(options), options.seed, now);
+    state.voter->consensus = control::makeConsensus(self, {}, std::move(durable), initialMembers(options), options.seed, now);
     state.configuration = control::sharedConfiguration(state.voter->control);
     state.renewal.applied = state.voter->control.applied;
     return state;
@@ -147,9 +147,9 @@
     } else if (state.voter) {
         const control::VoterId from = voterId(state, peer);
         if (from != control::VoterId{}) {
-            control::ConsensusActions decided;
-            control::receive(state.voter->consensus, from, std::get<control::ConsensusMessage>(message), now, decided);
-            carryOut(state, decided, now, actions);
+            control::ConsensusActions consensusActions;
+            control::receive(state.voter->consensus, from, std::get<control::ConsensusMessage>(message), now, consensusActions);
+            executeActions(state, consensusActions, now, actions);
         }
     }
 }
@@ -159,8 +159,8 @@
     state.wallClock = wallClock;
     if (now >= state.nextHeartbeat) {
         state.nextHeartbeat = now + state.view.options.heartbeatInterval;
-        membership::ViewActions decided = membership::tickView(state.view, now, state.random);
-        for (membership::OutgoingHeartbeat &heartbeat : decided.heartbeats) {
+        membership::ViewActions viewActions = membership::tickView(state.view, now, state.random);
+        for (membership::OutgoingHeartbeat &heartbeat : viewActions.heartbeats) {
             if (!state.peersUp.contains(heartbeat.to)) {
                 const auto known = state.view.known.find(heartbeat.to);
                 if (known != state.view.known.end()) {
@@ -169,20 +169,20 @@
             }
             send(state, heartbeat.to, std::move(heartbeat.heartbeat), actions);
         }
-        for (const std::string &name : decided.becameSuspect) {
+        for (const std::string &name : viewActions.becameSuspect) {
             actions.push_back(Notice{"instance " + name + " is suspected: no heartbeat in both directions"});
         }
-        for (const std::string &name : decided.becameAlive) {
+        for (const std::string &name : viewActions.becameAlive) {
             actions.push_back(Notice{"instance " + name + " is alive"});
         }
     }
     if (state.voter) {
-        control::ConsensusActions decided;
-        control::tick(state.voter->consensus, now, decided);
-        carryOut(state, decided, now, actions);
+        control::ConsensusActions consensusActions;
+        control::tick(state.voter->consensus, now, consensusActions);
+        executeActions(state, consensusActions, now, actions);
         tickLeader(state, now, actions);
     }
-    tickFollowing(state, now, actions);
+    tickUpstream(state, now, actions);
     tickLeases(state, now, actions);
     tickCommands(state, now, actions);
 }
--- a/src/coordination/internal.h
+++ b/src/coordination/internal.h
@@ -14,7 +14,7 @@
 [[nodiscard]] control::VoterId voterId(const CoordinationState &state, std::string_view name);
 
 /** Carries out what the replicated log asks for. */
-void carryOut(CoordinationState &state, control::ConsensusActions &decided, TimePoint now, Actions &actions);
+void executeActions(CoordinationState &state, control::ConsensusActions &consensusActions, TimePoint now, Actions &actions);
 /** Proposes @p command; returns where it stands in the log, or nothing when this voter does not lead. */
 [[nodiscard]] std::optional<control::ProposalAccepted> proposeCommand(CoordinationState &state, control::Command command, TimePoint now, Actions &actions);
 [[nodiscard]] control::CommandId makeCommandId(CoordinationState &state);
@@ -22,28 +22,28 @@
 void becomeLeader(CoordinationState &state, control::Term term, TimePoint now, Actions &actions);
 void loseLeadership(CoordinationState &state);
 void tickLeader(CoordinationState &state, TimePoint now, Actions &actions);
-void confirmRead(CoordinationState &state, std::uint64_t read, TimePoint now, Actions &actions);
+void onReadConfirmed(CoordinationState &state, std::uint64_t read, TimePoint now, Actions &actions);
 /** A command was applied at @p index by this leader. */
-void onApplied(CoordinationState &state,
-               control::LogIndex index,
-               control::Term term,
-               const control::Command &command,
-               const control::CommandResult &result,
-               TimePoint now,
-               Actions &actions);
-void answerForced(CoordinationState &state, TimePoint now, Actions &actions);
+void onCommandApplied(CoordinationState &state,
+                      control::LogIndex index,
+                      control::Term term,
+                      const control::Command &command,
+                      const control::CommandResult &result,
+                      TimePoint now,
+                      Actions &actions);
+void acknowledgeChanges(CoordinationState &state, TimePoint now, Actions &actions);
 
 /** Puts a configuration in force here. */
-void adopt(CoordinationState &state, std::shared_ptr<const control::Configuration> configuration, TimePoint now, Actions &actions);
+void activateConfiguration(CoordinationState &state, std::shared_ptr<const control::Configuration> configuration, TimePoint now, Actions &actions);
 /** Tells the leader which log index is applied here, and passes the feed on. */
-void applied(CoordinationState &state, Version index, TimePoint now, Actions &actions);
-void pumpFeed(CoordinationState &state, Actions &actions);
+void reportApplied(CoordinationState &state, Version index, TimePoint now, Actions &actions);
+void sendFeedUpdates(CoordinationState &state, Actions &actions);
 void onUpdate(CoordinationState &state, const std::string &peer, membership::Update update, TimePoint now, Actions &actions);
 void onSubscribe(CoordinationState &state, const std::string &peer, const membership::Subscribe &subscribe, Actions &actions);
 void onRenewRequest(CoordinationState &state, const std::string &peer, membership::RenewRequest request, TimePoint now);
 void onRenewReply(CoordinationState &state, const membership::RenewReply &reply, TimePoint now, Actions &actions);
 void onConfirm(CoordinationState &state, const membership::Confirm &confirm, Actions &actions);
-void tickFollowing(CoordinationState &state, TimePoint now, Actions &actions);
+void tickUpstream(CoordinationState &state, TimePoint now, Actions &actions);
 
 void onPromise(CoordinationState &state, const membership::Promise &promise, TimePoint now, Actions &actions);
 void tickLeases(CoordinationState &state, TimePoint now, Actions &actions);
@@ -54,7 +54,7 @@
 void onCommandReply(CoordinationState &state, const membership::CommandReply &reply, Actions &actions);
 void tickCommands(CoordinationState &state, TimePoint now, Actions &actions);
 void replyToCommand(
-    CoordinationState &state, const std::string &peer, std::uint64_t sequence, const control::CommandResult &result, bool inForce, Actions &actions);
+    CoordinationState &state, const std::string &peer, std::uint64_t sequence, const control::CommandResult &result, bool inForceEverywhere, Actions &actions);
 
 /** Peer that leads to the control leader: itself, the leader, or the instance that this one subscribes to. */
 [[nodiscard]] std::string upstreamPeer(const CoordinationState &state);
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -11,7 +11,7 @@
 constexpr Duration assignmentInterval = milliseconds(100);
 
 /** Whether @p command is acknowledged only when it is in force everywhere. Records of calls concern no configuration. */
-bool mustBeInForce(const control::Command &command)
+bool mustBeInForceEverywhere(const control::Command &command)
 {
     return !std::holds_alternative<control::BeginCall>(command.body) && !std::holds_alternative<control::CompleteCall>(command.body)
            && !std::holds_alternative<control::AbandonCall>(command.body) && !std::holds_alternative<control::RegisterInstance>(command.body)
@@ -19,17 +19,17 @@
            && !std::holds_alternative<control::AssignBucketOwner>(command.body);
 }
 
-void proposeFirstBundle(CoordinationState &state, TimePoint now, Actions &actions)
+void proposeInitialBundle(CoordinationState &state, TimePoint now, Actions &actions)
 {
     const bool empty = state.voter->control.configuration.version == 0;
-    if (!empty || !state.options.firstBundle) {
+    if (!empty || !state.options.initialBundle) {
         return;
     }
     control::Command command;
     // The same id from every leader, so that a second leader of a new fleet cannot apply the bundle again.
     command.id = {0, 1};
     command.sender = "bootstrap";
-    command.body = control::ApplyBundle{0, state.options.firstBundle, "bootstrap", "bootstrap", {}};
+    command.body = control::ApplyBundle{0, state.options.initialBundle, "bootstrap", "bootstrap", {}};
     static_cast<void>(proposeCommand(state, std::move(command), now, actions));
 }
 
@@ -38,7 +38,7 @@
     VoterState &voter = *state.voter;
     const auto assignments = poolAssignments(voter.control.configuration);
     for (const membership::PlannedAssignment &planned : membership::planAssignments(*voter.leader, assignments, now)) {
-        if (planned.step != membership::AssignmentStep::Assign || voter.assigning.contains(planned.pool)) {
+        if (planned.step != membership::AssignmentStep::Assign || voter.pendingAssignments.contains(planned.pool)) {
             continue;
         }
         const auto present = std::find_if(assignments.begin(), assignments.end(), [&](const membership::PoolAssignment &assignment) {
@@ -52,9 +52,9 @@
         } else {
             command.body = control::AssignPool{planned.pool, planned.owner, present->fencing};
         }
-        voter.assigning.insert(planned.pool);
+        voter.pendingAssignments.insert(planned.pool);
         if (!proposeCommand(state, std::move(command), now, actions)) {
-            voter.assigning.erase(planned.pool);
+            voter.pendingAssignments.erase(planned.pool);
             return;
         }
     }
@@ -73,10 +73,10 @@
     const auto registered = registeredInstances(voter.control.configuration);
     const auto assignments = poolAssignments(voter.control.configuration);
     voter.leader = membership::becomeLeader(term, state.options.times, voter.control.applied, registered, assignments, now);
-    voter.assigning.clear();
+    voter.pendingAssignments.clear();
     state.view.leader = state.options.name;
     actions.push_back(Notice{"leads the replicated log in term " + std::to_string(term)});
-    proposeFirstBundle(state, now, actions);
+    proposeInitialBundle(state, now, actions);
 }
 
 void loseLeadership(CoordinationState &state)
@@ -85,15 +85,15 @@
     voter.leader.reset();
     // The senders of these commands send them again, under the same command ids, to the next leader.
     voter.proposals.clear();
-    voter.awaitedForce.clear();
+    voter.unacknowledgedChanges.clear();
     voter.reads.clear();
-    voter.assigning.clear();
+    voter.pendingAssignments.clear();
     if (state.view.leader == state.options.name) {
         state.view.leader.clear();
     }
 }
 
-void confirmRead(CoordinationState &state, std::uint64_t read, TimePoint now, Actions &actions)
+void onReadConfirmed(CoordinationState &state, std::uint64_t read, TimePoint now, Actions &actions)
 {
     VoterState &voter = *state.voter;
     const auto found = voter.reads.find(read);
@@ -112,22 +112,22 @@
     }
 }
 
-void onApplied(CoordinationState &state,
-               control::LogIndex index,
-               control::Term term,
-               const control::Command &command,
-               const control::CommandResult &result,
-               TimePoint now,
-               Actions &actions)
+void onCommandApplied(CoordinationState &state,
+                      control::LogIndex index,
+                      control::Term term,
+                      const control::Command &command,
+                      const control::CommandResult &result,
+                      TimePoint now,
+                      Actions &actions)
 {
     VoterState &voter = *state.voter;
     if (!voter.leader) {
         return;
     }
     if (const auto *pool = std::get_if<control::AssignPool>(&command.body)) {
-        voter.assigning.erase(pool->pool);
+        voter.pendingAssignments.erase(pool->pool);
     } else if (const auto *buckets = std::get_if<control::AssignBucketOwner>(&command.body)) {
-        voter.assigning.erase(bucketPool(buckets->domain));
+        voter.pendingAssignments.erase(bucketPool(buckets->domain));
     }
     if (voter.control.configuration.logIndex == index) {
         membership::setRegistered(*voter.leader, registeredInstances(voter.control.configuration));
@@ -136,26 +136,26 @@
     if (found == voter.proposals.end()) {
         return;
     }
-    const AwaitedProposal awaited = found->second;
+    const PendingProposal proposal = found->second;
     voter.proposals.erase(found);
-    if (awaited.term != term) {
-        return; // another leader's entry stands at this place; the sender sends its command again
+    if (proposal.term != term) {
+        return; // another leader's entry stands at this position; the sender sends its command again
     }
-    if (result.outcome == control::CommandOutcome::Accepted && mustBeInForce(command)) {
-        voter.awaitedForce.push_back({index, awaited.peer, awaited.sequence, result});
-        answerForced(state, now, actions);
+    if (result.outcome == control::CommandOutcome::Accepted && mustBeInForceEverywhere(command)) {
+        voter.unacknowledgedChanges.push_back({index, proposal.peer, proposal.sequence, result});
+        acknowledgeChanges(state, now, actions);
     } else {
-        replyToCommand(state, awaited.peer, awaited.sequence, result, false, actions);
+        replyToCommand(state, proposal.peer, proposal.sequence, result, false, actions);
     }
 }
 
-void answerForced(CoordinationState &state, TimePoint now, Actions &actions)
+void acknowledgeChanges(CoordinationState &state, TimePoint now, Actions &actions)
 {
     VoterState &voter = *state.voter;
-    while (voter.leader && !voter.awaitedForce.empty() && membership::isInForce(*voter.leader, voter.awaitedForce.front().index, now)) {
-        const AwaitedForce done = std::move(voter.awaitedForce.front());
-        voter.awaitedForce.pop_front();
-        replyToCommand(state, done.peer, done.sequence, done.result, true, actions);
+    while (voter.leader && !voter.unacknowledgedChanges.empty() && membership::isInForce(*voter.leader, voter.unacknowledgedChanges.front().index, now)) {
+        const UnacknowledgedChange change = std::move(voter.unacknowledgedChanges.front());
+        voter.unacknowledgedChanges.pop_front();
+        replyToCommand(state, change.peer, change.sequence, change.result, true, actions);
     }
 }
 
@@ -167,15 +167,15 @@
     }
     membership::updateReachability(*voter.leader, now);
     if (!voter.leader->pending.empty() && voter.reads.empty()) {
-        control::ConsensusActions decided;
-        const std::uint64_t read = control::requestRead(voter.consensus, decided);
+        control::ConsensusActions consensusActions;
+        const std::uint64_t read = control::requestRead(voter.consensus, consensusActions);
         voter.reads[read] = now;
-        carryOut(state, decided, now, actions);
+        executeActions(state, consensusActions, now, actions);
     }
     if (!voter.leader) {
         return;
     }
-    answerForced(state, now, actions);
+    acknowledgeChanges(state, now, actions);
     if (now >= state.nextAssignment) {
         state.nextAssignment = now + assignmentInterval;
         assignPools(state, now, actions);
--- a/src/coordination/leases.cpp
+++ b/src/coordination/leases.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Orders of an earlier owner can arrive until the load timeout has passed (docs/design.md, section 15).
-constexpr Duration longestOrder = seconds(5);
+constexpr Duration maximumOrderDelay = seconds(5);
 
 bool isBucketPool(PoolId pool, DomainId home)
 {
@@ -30,7 +30,7 @@
     if (until == membership::neverTime) {
         return;
     }
-    TimePoint &reported = state.leasesReported[pool];
+    TimePoint &reported = state.reportedLeaseEnds[pool];
     if (reported == until) {
         return;
     }
@@ -40,7 +40,7 @@
     lease.buckets = isBucketPool(pool, state.home);
     lease.fencing = held.fencing;
     lease.ownedUntil = until;
-    lease.ordersFrom = membership::firstOrderAt(state.holder, pool, false, longestOrder);
+    lease.ordersFrom = membership::firstOrderAt(state.holder, pool, false, maximumOrderDelay);
     actions.push_back(lease);
 }
 
--- a/src/coordination/following.cpp
+++ b/src/coordination/upstream.cpp
@@ -10,7 +10,7 @@
 
 // An upstream instance that passes on neither leases nor updates for this long is replaced. Heartbeats do not count: two instances
 // that follow each other would never notice. Three renewal intervals of 1 s.
-constexpr Duration upstreamPatience = seconds(3);
+constexpr Duration upstreamTimeout = seconds(3);
 
 const control::Instance *ownRegistration(const CoordinationState &state, const control::Configuration &configuration)
 {
@@ -31,7 +31,7 @@
     return DomainId{};
 }
 
-std::string wantedUpstream(const CoordinationState &state, TimePoint now)
+std::string preferredUpstream(const CoordinationState &state, TimePoint now)
 {
     if (state.voter) {
         return state.view.leader == state.options.name ? std::string() : state.view.leader;
@@ -50,12 +50,12 @@
         state.upstreamHeardAt = now;
         return;
     }
-    const bool silent = now >= state.upstreamHeardAt + upstreamPatience;
-    const std::string wanted = wantedUpstream(state, now);
-    if (wanted == state.upstream && !silent) {
+    const bool isSilent = now >= state.upstreamHeardAt + upstreamTimeout;
+    const std::string wanted = preferredUpstream(state, now);
+    if (wanted == state.upstream && !isSilent) {
         return;
     }
-    if (silent) {
+    if (isSilent) {
         ++state.upstreamFailures;
         if (state.view.leader == state.upstream && !state.voter) {
             state.view.leader.clear();
@@ -75,8 +75,8 @@
         return;
     }
     const auto pools = membership::poolsToRenew(state.holder);
-    const bool often = !pools.empty() || state.view.relay == state.options.name || !state.renewal.downstream.empty();
-    state.nextRenewal = now + membership::renewalInterval(state.options.times.freshness, often);
+    const bool isFrequent = !pools.empty() || state.view.relay == state.options.name || !state.renewal.downstream.empty();
+    state.nextRenewal = now + membership::renewalInterval(state.options.times.freshness, isFrequent);
     membership::RenewRequest request = membership::makeRenewRequest(state.renewal, pools, now);
     if (isLeader(state)) {
         static_cast<void>(membership::onRenewRequest(*state.voter->leader, state.options.name, std::move(request), now));
@@ -87,8 +87,8 @@
 
 void reportFreshness(CoordinationState &state, Actions &actions)
 {
-    if (state.renewal.freshUntil != state.freshReported) {
-        state.freshReported = state.renewal.freshUntil;
+    if (state.renewal.freshUntil != state.reportedFreshUntil) {
+        state.reportedFreshUntil = state.renewal.freshUntil;
         actions.push_back(FreshnessChanged{state.renewal.freshUntil});
     }
 }
@@ -114,7 +114,7 @@
     if (configuration == nullptr) {
         return false;
     }
-    adopt(state, std::move(*configuration), now, actions);
+    activateConfiguration(state, std::move(*configuration), now, actions);
     return true;
 }
 
@@ -128,7 +128,7 @@
     membership::setSnapshot(state.feed, snapshot.index, snapshot.payload);
     // A relay that restarted may be behind; what is in force here never reverts.
     if (!state.configuration || (*configuration)->logIndex >= state.configuration->logIndex) {
-        adopt(state, std::move(*configuration), now, actions);
+        activateConfiguration(state, std::move(*configuration), now, actions);
     }
     return true;
 }
@@ -141,7 +141,7 @@
     return !leader.empty() && state.peersUp.contains(leader) ? leader : state.upstream;
 }
 
-void adopt(CoordinationState &state, std::shared_ptr<const control::Configuration> configuration, TimePoint now, Actions &actions)
+void activateConfiguration(CoordinationState &state, std::shared_ptr<const control::Configuration> configuration, TimePoint now, Actions &actions)
 {
     state.configuration = std::move(configuration);
     const control::Configuration &current = *state.configuration;
@@ -156,20 +156,20 @@
     actions.push_back(ConfigurationChanged{state.configuration, state.self, state.home});
 }
 
-void applied(CoordinationState &state, Version index, TimePoint now, Actions &actions)
+void reportApplied(CoordinationState &state, Version index, TimePoint now, Actions &actions)
 {
     state.renewal.applied = index;
     state.reader.applied = index;
     if (isLeader(state)) {
         membership::onConfirm(*state.voter->leader, membership::makeConfirm(state.renewal, {}));
-        answerForced(state, now, actions);
+        acknowledgeChanges(state, now, actions);
     } else if (!state.upstream.empty() && state.self != InstanceId{}) {
         send(state, state.upstream, membership::makeConfirm(state.renewal, {}), actions);
     }
-    pumpFeed(state, actions);
+    sendFeedUpdates(state, actions);
 }
 
-void pumpFeed(CoordinationState &state, Actions &actions)
+void sendFeedUpdates(CoordinationState &state, Actions &actions)
 {
     if (membership::needsSnapshot(state.feed) && state.configuration) {
         membership::setSnapshot(state.feed, state.reader.applied, link::encode(*state.configuration));
@@ -189,7 +189,7 @@
 void onSubscribe(CoordinationState &state, const std::string &peer, const membership::Subscribe &subscribe, Actions &actions)
 {
     membership::onSubscribe(state.feed, peer, subscribe);
-    pumpFeed(state, actions);
+    sendFeedUpdates(state, actions);
 }
 
 void onUpdate(CoordinationState &state, const std::string &peer, membership::Update update, TimePoint now, Actions &actions)
@@ -207,7 +207,7 @@
             resubscribe(state, 0, actions);
             return;
         }
-        applied(state, snapshot->index, now, actions);
+        reportApplied(state, snapshot->index, now, actions);
     } else if (auto *increments = std::get_if<membership::ApplyIncrements>(&result)) {
         for (membership::Increment &increment : increments->increments) {
             if (!applyIncrement(state, increment, now, actions)) {
@@ -219,7 +219,7 @@
                 membership::setSnapshot(state.feed, increment.index, link::encode(*state.configuration));
             }
         }
-        applied(state, increments->lastIndex, now, actions);
+        reportApplied(state, increments->lastIndex, now, actions);
     } else if (const auto *gap = std::get_if<membership::Resubscribe>(&result)) {
         resubscribe(state, gap->nextIndex, actions);
     }
@@ -262,11 +262,11 @@
     }
 }
 
-void tickFollowing(CoordinationState &state, TimePoint now, Actions &actions)
+void tickUpstream(CoordinationState &state, TimePoint now, Actions &actions)
 {
     subscribe(state, now, actions);
     requestRenewal(state, now, actions);
-    pumpFeed(state, actions);
+    sendFeedUpdates(state, actions);
 }
 
 } // namespace mimosahollow::coordination
--- a/src/coordination/voter.cpp
+++ b/src/coordination/voter.cpp
@@ -24,9 +24,9 @@
             membership::onCommitted(*voter.leader, entry.index, now);
         }
         if (voter.control.configuration.logIndex == entry.index) {
-            adopt(state, control::sharedConfiguration(voter.control), now, actions);
+            activateConfiguration(state, control::sharedConfiguration(voter.control), now, actions);
         }
-        onApplied(state, entry.index, entry.term, *command, result, now, actions);
+        onCommandApplied(state, entry.index, entry.term, *command, result, now, actions);
     } else {
         control::skipTo(voter.control, entry.index);
     }
@@ -51,7 +51,7 @@
     actions.push_back(StorageOrder(std::move(store)));
 }
 
-void install(CoordinationState &state, control::InstallSnapshot &snapshot, TimePoint now, Actions &actions)
+void installSnapshot(CoordinationState &state, control::InstallSnapshot &snapshot, TimePoint now, Actions &actions)
 {
     auto decoded = control::decodeSnapshot(*snapshot.data);
     if (const auto *error = std::get_if<control::SnapshotError>(&decoded)) {
@@ -63,12 +63,12 @@
     voter.control = std::get<control::ControlState>(std::move(decoded));
     voter.snapshotIndex = snapshot.point.index;
     membership::setSnapshot(state.feed, voter.control.applied, link::encode(voter.control.configuration));
-    adopt(state, control::sharedConfiguration(voter.control), now, actions);
-    applied(state, voter.control.applied, now, actions);
+    activateConfiguration(state, control::sharedConfiguration(voter.control), now, actions);
+    reportApplied(state, voter.control.applied, now, actions);
     actions.push_back(StorageOrder(StoreSnapshot{snapshot.write, snapshot.point, std::move(snapshot.data), true}));
 }
 
-struct ConsensusCarrier
+struct ConsensusActionExecutor
 {
     CoordinationState &state;
     TimePoint now;
@@ -97,7 +97,7 @@
     }
     void operator()(control::InstallSnapshot &snapshot) const
     {
-        install(state, snapshot, now, actions);
+        installSnapshot(state, snapshot, now, actions);
     }
     void operator()(const control::ApplyEntries &apply) const
     {
@@ -105,7 +105,7 @@
             applyCommand(state, entry, now, actions);
         }
         if (!apply.entries.empty()) {
-            applied(state, apply.entries.back().index, now, actions);
+            reportApplied(state, apply.entries.back().index, now, actions);
             takeSnapshot(state, actions);
         }
     }
@@ -120,7 +120,7 @@
     }
     void operator()(const control::ReadConfirmed &event) const
     {
-        confirmRead(state, event.read, now, actions);
+        onReadConfirmed(state, event.read, now, actions);
     }
     void operator()(const control::ReadRejected &event) const
     {
@@ -130,11 +130,11 @@
 
 } // namespace
 
-void carryOut(CoordinationState &state, control::ConsensusActions &decided, TimePoint now, Actions &actions)
+void executeActions(CoordinationState &state, control::ConsensusActions &consensusActions, TimePoint now, Actions &actions)
 {
-    const ConsensusCarrier carrier{state, now, actions};
-    for (control::ConsensusAction &action : decided) {
-        std::visit(carrier, action);
+    const ConsensusActionExecutor executor{state, now, actions};
+    for (control::ConsensusAction &action : consensusActions) {
+        std::visit(executor, action);
     }
     const control::VoterId leader = state.voter->consensus.leader;
     if (leader != control::VoterId{}) {
@@ -149,30 +149,30 @@
     }
     command.time = state.wallClock;
     const control::SharedBytes payload = std::make_shared<const control::Bytes>(link::encode(command));
-    control::ConsensusActions decided;
-    const control::ProposalResult result = control::propose(state.voter->consensus, {&payload, 1}, now, decided);
+    control::ConsensusActions consensusActions;
+    const control::ProposalResult result = control::propose(state.voter->consensus, {&payload, 1}, now, consensusActions);
     const auto *accepted = std::get_if<control::ProposalAccepted>(&result);
-    const std::optional<control::ProposalAccepted> place = accepted != nullptr ? std::optional(*accepted) : std::nullopt;
-    carryOut(state, decided, now, actions);
-    return place;
+    const std::optional<control::ProposalAccepted> position = accepted != nullptr ? std::optional(*accepted) : std::nullopt;
+    executeActions(state, consensusActions, now, actions);
+    return position;
 }
 
 void storageSynced(CoordinationState &state, control::WriteNumber write, TimePoint now, Actions &actions)
 {
-    control::ConsensusActions decided;
-    control::logSynced(state.voter->consensus, write, now, decided);
-    carryOut(state, decided, now, actions);
+    control::ConsensusActions consensusActions;
+    control::logSynced(state.voter->consensus, write, now, consensusActions);
+    executeActions(state, consensusActions, now, actions);
 }
 
 void snapshotStored(CoordinationState &state, control::LogIndex index, bool replacesLog, control::SharedBytes data, TimePoint now, Actions &actions)
 {
-    control::ConsensusActions decided;
+    control::ConsensusActions consensusActions;
     if (replacesLog) {
-        control::snapshotInstalled(state.voter->consensus, index, now, decided);
+        control::snapshotInstalled(state.voter->consensus, index, now, consensusActions);
     } else {
-        control::snapshotTaken(state.voter->consensus, index, std::move(data), decided);
+        control::snapshotTaken(state.voter->consensus, index, std::move(data), consensusActions);
     }
-    carryOut(state, decided, now, actions);
+    executeActions(state, consensusActions, now, actions);
 }
 
 } // namespace mimosahollow::coordination
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -19,24 +19,24 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t keptEntries = 16; // behind a snapshot; bounds the log in memory, where an entry may be hundreds of kilobytes
+constexpr std::size_t retainedEntries = 16; // behind a snapshot; bounds the log in memory, where an entry may be hundreds of kilobytes
 
 /** First voters have numbers that all of them work out alike: the IP address. */
-control::VoterId voterOf(const std::string &address)
+control::VoterId voterIdFromAddress(const std::string &address)
 {
     boost::system::error_code error;
     const auto ip = asio::ip::make_address_v4(address.substr(0, address.rfind(':')), error);
     return error ? control::VoterId{} : static_cast<control::VoterId>(ip.to_uint());
 }
 
-VoterIdentity freshIdentity(const CoordinatorSettings &settings)
+VoterIdentity makeIdentity(const CoordinatorSettings &settings)
 {
     VoterIdentity identity;
     const bool isSeed = std::find(settings.seeds.begin(), settings.seeds.end(), settings.linkAddress) != settings.seeds.end();
-    if (settings.foundsFleet && isSeed) {
-        identity.id = voterOf(settings.linkAddress);
+    if (settings.bootstrapsFleet && isSeed) {
+        identity.id = voterIdFromAddress(settings.linkAddress);
         for (const std::string &seed : settings.seeds) {
-            identity.firstMembers.push_back({voterOf(seed), seed, false});
+            identity.initialMembers.push_back({voterIdFromAddress(seed), seed, false});
         }
         return identity;
     }
@@ -49,7 +49,7 @@
 
 } // namespace
 
-Coordinator::Coordinator(asio::io_context &context, CoordinatorSettings settings, catalog::CatalogDecoder decodeCatalog, EnginePort engines)
+Coordinator::Coordinator(asio::io_context &context, CoordinatorSettings settings, catalog::CatalogDecoder decodeCatalog, EngineOperations engines)
     : m_context(context)
     , m_settings(std::move(settings))
     , m_decodeCatalog(std::move(decodeCatalog))
@@ -57,7 +57,7 @@
     , m_timer(context)
     , m_placementTimer(context)
 {
-    m_settings.consensus.keptEntries = keptEntries;
+    m_settings.consensus.keptEntries = retainedEntries;
     m_registry.options = m_settings.registry;
     m_placement.options = m_settings.placement;
     m_placement.slots.options = m_settings.orderSlots;
@@ -72,7 +72,7 @@
 std::string Coordinator::start()
 {
     const auto files = storage::posixFileSystem();
-    const auto identity = loadIdentity(*files, m_settings.dataFolder, freshIdentity(m_settings));
+    const auto identity = loadOrCreateIdentity(*files, m_settings.dataFolder, makeIdentity(m_settings));
     if (const auto *problem = std::get_if<std::string>(&identity)) {
         return *problem;
     }
@@ -120,12 +120,12 @@
         return problem;
     }
     observability::DecisionLine line("coordinator-start");
-    line.add("voter", static_cast<std::uint64_t>(m_self)).add("founder", self.firstMembers.empty() ? "no" : "yes");
+    line.add("voter", static_cast<std::uint64_t>(m_self)).add("founder", self.initialMembers.empty() ? "no" : "yes");
     line.add("log-entries", log.entries.size()).add("snapshot", log.snapshot.index).add("term", log.term);
     observability::logDecision(line.text());
     std::random_device random;
     m_consensus = std::make_unique<control::ConsensusState>(
-        control::makeConsensus(m_self, m_settings.consensus, std::move(log), self.firstMembers, random(), Clock::now()));
+        control::makeConsensus(m_self, m_settings.consensus, std::move(log), self.initialMembers, random(), Clock::now()));
     membershipChanged();
     setSeeds(m_settings.seeds);
     scheduleTick();
@@ -176,7 +176,7 @@
         if (m_catalog) {
             allowance::configure(m_bank, m_catalog->catalog());
         }
-        adoptHolders();
+        applyOrderHolders();
         m_placement.namedVersions = {m_state.adapterVersions.begin(), m_state.adapterVersions.end()};
         std::vector<registry::ServerRecord> all;
         for (const auto &[id, entry] : m_registry.entries) {
@@ -212,19 +212,19 @@
     m_bank.accounts.clear();
     m_bank.opensAt = now + m_bank.options.handover;
     m_entries.clear();
-    m_unconfirmed.clear();
-    m_confirming.clear();
+    m_unconfirmedReports.clear();
+    m_confirmingReports.clear();
     m_reportRead.reset();
     m_sentCatalogs.clear();
     m_leadsSince = now;
     placement::begin(m_placement, term, now);
-    m_holders.clear();
+    m_holderCandidates.clear();
     m_remoteOrders.clear();
     stateChanged();
     broadcastCoordinators();
 }
 
-bool Coordinator::hearsMajority(TimePoint now) const
+bool Coordinator::hasMajorityContact(TimePoint now) const
 {
     std::size_t voters = 0;
     std::size_t heard = 0;
@@ -234,14 +234,15 @@
         }
         ++voters;
         const auto progress = m_consensus->progress.find(member.id);
-        const bool isHeard = member.id == m_self || (progress != m_consensus->progress.end() && now - progress->second.heard <= m_settings.holderContact);
+        const bool isHeard =
+            member.id == m_self || (progress != m_consensus->progress.end() && now - progress->second.heard <= m_settings.majorityContactTimeout);
         heard += isHeard ? 1 : 0;
     }
     return heard > voters / 2;
 }
 
 /** Grants begin as soon as all connected entry instances have told what they spent. */
-void Coordinator::openBank(TimePoint now)
+void Coordinator::openTokenBank(TimePoint now)
 {
     if (now >= m_bank.opensAt || now - m_leadsSince < m_settings.handoverMinimum) {
         return;
@@ -260,8 +261,8 @@
     observability::logDecision("leadership-lost");
     m_isLeading = false;
     m_reportRead.reset();
-    m_confirming.clear();
-    m_unconfirmed.clear();
+    m_confirmingReports.clear();
+    m_unconfirmedReports.clear();
     auto changes = std::move(m_changes);
     m_changes.clear();
     for (auto &[index, pending] : changes) {
@@ -278,7 +279,7 @@
 
 void Coordinator::scheduleTick()
 {
-    m_timer.expires_after(m_settings.tick);
+    m_timer.expires_after(m_settings.tickInterval);
     m_timer.async_wait([this](boost::system::error_code error) {
         if (!error) {
             tick(Clock::now());
@@ -291,19 +292,19 @@
 {
     control::ConsensusActions actions;
     control::tick(*m_consensus, now, actions);
-    run(std::move(actions));
+    executeActions(std::move(actions));
     m_storage->flush();
     if (const std::string leader = leaderLink(); leader != m_announcedLeader) {
         m_announcedLeader = leader;
         broadcastCoordinators();
     }
-    if (now >= m_nextSecond) {
-        m_nextSecond = now + seconds(1);
+    if (now >= m_nextServerSync) {
+        m_nextServerSync = now + seconds(1);
         std::vector<registry::ServerRecord> refreshed;
-        for (auto &[id, record] : m_refreshed) {
+        for (auto &[id, record] : m_refreshedServers) {
             refreshed.push_back(std::move(record));
         }
-        m_refreshed.clear();
+        m_refreshedServers.clear();
         if (!refreshed.empty()) {
             broadcastServers(refreshed, true, false);
         }
@@ -320,12 +321,12 @@
         return;
     }
     expireOrders(now);
-    planHolders(now);
+    planOrderHolders(now);
     if (now >= m_nextVoterPlan) {
         m_nextVoterPlan = now + milliseconds(250);
         planVoters(now);
     }
-    readEngines(now);
+    requestEngineReports(now);
     if (now >= m_nextPlacement) {
         planPlacement(now);
     }
@@ -365,7 +366,7 @@
     const auto *rejected = std::get_if<control::ProposalRejected>(&result);
     line.add("members", members.size()).add("outcome", rejected != nullptr ? control::toString(rejected->error) : "proposed");
     observability::logDecision(line.text());
-    run(std::move(actions));
+    executeActions(std::move(actions));
     membershipChanged();
 }
 
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -2,7 +2,7 @@
 
 #include "app/voterstorage.h"
 #include "coordinator/coordinatorsettings.h"
-#include "coordinator/engineport.h"
+#include "coordinator/engineoperations.h"
 #include "fleetlink/linkhub.h"
 #include "mimosahollow/allowance/tokenbank.h"
 #include "mimosahollow/catalog/catalogdecoder.h"
@@ -67,7 +67,7 @@
 class Coordinator
 {
 public:
-    Coordinator(boost::asio::io_context &context, CoordinatorSettings settings, catalog::CatalogDecoder decodeCatalog, EnginePort engines);
+    Coordinator(boost::asio::io_context &context, CoordinatorSettings settings, catalog::CatalogDecoder decodeCatalog, EngineOperations engines);
     ~Coordinator();
     Coordinator(const Coordinator &) = delete;
     Coordinator &operator=(const Coordinator &) = delete;
@@ -82,7 +82,7 @@
     [[nodiscard]] boost::asio::awaitable<ReadResult> read();
 
     void announce(registry::ServerRecord record);
-    void depart(const std::string &server);
+    void removeServer(const std::string &server);
 
     [[nodiscard]] std::string metricsText() const;
     /** Called when storage has failed: nothing can be confirmed any more. */
@@ -95,11 +95,11 @@
 
     [[nodiscard]] bool leads() const noexcept;
     [[nodiscard]] std::string leaderLink() const;
-    void run(control::ConsensusActions actions);
-    void carryOut(control::ConsensusAction &action);
+    void executeActions(control::ConsensusActions actions);
+    void executeAction(control::ConsensusAction &action);
     void send(const control::SendToVoter &message);
     void applyEntries(const std::vector<control::LogEntry> &entries);
-    void install(const control::InstallSnapshot &snapshot);
+    void installSnapshot(const control::InstallSnapshot &snapshot);
     void takeSnapshot();
     void stateChanged();
     void membershipChanged();
@@ -112,14 +112,14 @@
     void scheduleTick();
     void tick(TimePoint now);
     void planVoters(TimePoint now);
-    [[nodiscard]] bool hearsMajority(TimePoint now) const;
-    void openBank(TimePoint now);
+    [[nodiscard]] bool hasMajorityContact(TimePoint now) const;
+    void openTokenBank(TimePoint now);
 
     void linkOpened(const fleetlink::Peer &peer);
     void linkClosed(const fleetlink::Peer &peer);
     void consensusMessage(const fleetlink::Peer &peer, std::span<const std::uint8_t> bytes);
     void linkMessage(const fleetlink::Peer &peer, fleetlink::LinkMessage message);
-    void takeReport(const fleetlink::Peer &peer, const fleetlink::EntryReport &report);
+    void handleReport(const fleetlink::Peer &peer, const fleetlink::EntryReport &report);
     void confirmReports();
     void replyToReports(control::LogIndex index);
     void sendState(const fleetlink::Peer &peer);
@@ -129,25 +129,25 @@
 
     void serversChanged(const std::vector<registry::ServerRecord> &servers, TimePoint now);
     void planPlacement(TimePoint now);
-    void adoptHolders();
-    void planHolders(TimePoint now);
-    boost::asio::awaitable<void> assignHolder(placement::SlotAssignment assignment, control::Term term);
+    void applyOrderHolders();
+    void planOrderHolders(TimePoint now);
+    boost::asio::awaitable<void> assignOrderSlots(placement::SlotAssignment assignment, control::Term term);
     void sendCredit(TimePoint now);
-    void takeCredit(const fleetlink::Peer &peer, const fleetlink::OrderCredit &credit);
-    void carryOutOrder(const fleetlink::Peer &peer, const fleetlink::OrderRequest &request);
+    void handleCredit(const fleetlink::Peer &peer, const fleetlink::OrderCredit &credit);
+    void handleOrderRequest(const fleetlink::Peer &peer, const fleetlink::OrderRequest &request);
     void orderEnded(const placement::ModelOrder &order, placement::OrderOutcome outcome, TimePoint sent, control::Term term);
-    void takeOrderReply(const fleetlink::OrderReply &reply);
+    void handleOrderReply(const fleetlink::OrderReply &reply);
     void expireOrders(TimePoint now);
-    void planPlacementSoon();
+    void schedulePlacement();
     void sendOrder(const placement::ModelOrder &order);
-    void readEngines(TimePoint now);
+    void requestEngineReports(TimePoint now);
     void flushPlacement();
     [[nodiscard]] fleetlink::ServerPlacement placementOf(const std::string &server, TimePoint now) const;
 
     boost::asio::io_context &m_context;
     CoordinatorSettings m_settings;
     catalog::CatalogDecoder m_decodeCatalog;
-    EnginePort m_engines;
+    EngineOperations m_engines;
     boost::asio::steady_timer m_timer;
     std::unique_ptr<fleetlink::LinkHub> m_hub;
     std::unique_ptr<app::VoterStorage> m_storage;
@@ -162,14 +162,14 @@
     std::map<std::uint64_t, std::shared_ptr<PendingRead>> m_reads;
 
     registry::ServerRegistry m_registry;
-    std::map<std::string, registry::ServerRecord> m_refreshed; // not yet passed on to the other coordinators
+    std::map<std::string, registry::ServerRecord> m_refreshedServers; // not yet passed on to the other coordinators
     std::map<std::string, EntryView> m_entries; // of the leader, by name
 
     bool m_isLeading = false; // the first entry of this leader's term is applied
     TimePoint m_leadsSince{};
     allowance::TokenBank m_bank;
     placement::PlacementState m_placement;
-    struct HolderView
+    struct HolderCandidate
     {
         fleetlink::PeerNumber peer = 0;
         std::uint64_t stamp = 0; // its newest credit
@@ -180,22 +180,22 @@
         TimePoint sent{};
         control::Term term = 0;
     };
-    std::map<std::string, HolderView> m_holders; // of the leader: coordinators that can send orders, by name
+    std::map<std::string, HolderCandidate> m_holderCandidates; // of the leader: coordinators that can send orders, by name
     std::map<std::uint64_t, RemoteOrder> m_remoteOrders; // of the leader: sent by another coordinator, by number
     std::uint64_t m_lastRemoteOrder = 0;
     control::Term m_orderTerm = 0; // of the newest leader whose orders were carried out here
     TimePoint m_nextCredit{};
     bool m_placementFlushPosted = false;
-    std::optional<std::uint64_t> m_reportRead; // confirmation for the reports in m_confirming
-    std::vector<std::string> m_confirming;
-    std::vector<std::string> m_unconfirmed;
+    std::optional<std::uint64_t> m_reportRead; // confirmation for the reports in m_confirmingReports
+    std::vector<std::string> m_confirmingReports;
+    std::vector<std::string> m_unconfirmedReports;
     std::map<fleetlink::PeerNumber, std::uint64_t> m_sentCatalogs; // version of the catalog that each connection has
     std::string m_announcedLeader;
-    TimePoint m_nextSecond{};
+    TimePoint m_nextServerSync{};
     TimePoint m_nextVoterPlan{};
     TimePoint m_nextPlacement{}; // at the latest
     boost::asio::steady_timer m_placementTimer;
-    bool m_placementTimed = false;
+    bool m_isPlacementScheduled = false;
     CoordinatorCounters m_counters;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); // handlers that outlive this object check it
 };
--- a/src/coordinator/coordinatorinternal.h
+++ b/src/coordinator/coordinatorinternal.h
@@ -36,7 +36,7 @@
 struct Coordinator::EntryView
 {
     fleetlink::PeerNumber peer = 0;
-    TimePoint heard{};
+    TimePoint lastReportAt{};
     bool hasHistory = false; /**< It has told what it spent of the grants of an earlier leader. */
     std::uint64_t stamp = 0; /**< Of its last report. */
     std::vector<fleetlink::NamedNumber> running;
--- a/src/coordinator/coordinatorlinks.cpp
+++ b/src/coordinator/coordinatorlinks.cpp
@@ -12,7 +12,7 @@
 using Clock = std::chrono::steady_clock;
 
 /** An entry instance that is silent for so long no longer counts among those that share the fleet-wide limits. */
-constexpr Duration entrySilence = seconds(6);
+constexpr Duration entryTimeout = seconds(6);
 
 bool isEntry(const fleetlink::Peer &peer)
 {
@@ -42,14 +42,14 @@
         serversChanged({copy}, now);
         break;
     case registry::MergeOutcome::Refreshed:
-        m_refreshed[copy.id] = copy;
+        m_refreshedServers[copy.id] = copy;
         break;
     case registry::MergeOutcome::Stale:
         break;
     }
 }
 
-void Coordinator::depart(const std::string &server)
+void Coordinator::removeServer(const std::string &server)
 {
     const TimePoint now = Clock::now();
     if (const auto record = registry::remove(m_registry, server, now)) {
@@ -180,17 +180,17 @@
             broadcastServers(changed, false, leads());
         }
     } else if (const auto *report = std::get_if<fleetlink::EntryReport>(&message)) {
-        takeReport(peer, *report);
+        handleReport(peer, *report);
     } else if (const auto *credit = std::get_if<fleetlink::OrderCredit>(&message)) {
-        takeCredit(peer, *credit);
+        handleCredit(peer, *credit);
     } else if (const auto *request = std::get_if<fleetlink::OrderRequest>(&message)) {
-        carryOutOrder(peer, *request);
+        handleOrderRequest(peer, *request);
     } else if (const auto *reply = std::get_if<fleetlink::OrderReply>(&message)) {
-        takeOrderReply(*reply);
+        handleOrderReply(*reply);
     }
 }
 
-void Coordinator::takeReport(const fleetlink::Peer &peer, const fleetlink::EntryReport &report)
+void Coordinator::handleReport(const fleetlink::Peer &peer, const fleetlink::EntryReport &report)
 {
     if (!leads()) {
         return;
@@ -199,7 +199,7 @@
     const TimePoint now = Clock::now();
     EntryView &entry = m_entries[peer.hello.name];
     entry.peer = peer.number;
-    entry.heard = now;
+    entry.lastReportAt = now;
     entry.stamp = report.stamp;
     entry.running = report.running;
     if (report.hasHistory && !entry.hasHistory) {
@@ -208,7 +208,7 @@
             allowance::notePast(m_bank, spent.organisation, spent.tokens, milliseconds(spent.ageMilliseconds), now);
         }
     }
-    openBank(now);
+    openTokenBank(now);
     for (const fleetlink::NamedNumber &returned : report.returned) {
         allowance::takeBack(m_bank, returned.name, returned.value);
     }
@@ -237,30 +237,30 @@
         anyWaits = anyWaits || demand.waiting > 0;
     }
     if (anyWaits) {
-        planPlacementSoon();
+        schedulePlacement();
     }
-    m_unconfirmed.push_back(peer.hello.name);
+    m_unconfirmedReports.push_back(peer.hello.name);
     confirmReports();
 }
 
 /** One round of the log confirms all reports that have arrived before it. */
 void Coordinator::confirmReports()
 {
-    if (m_reportRead || m_unconfirmed.empty() || !leads()) {
+    if (m_reportRead || m_unconfirmedReports.empty() || !leads()) {
         return;
     }
-    m_confirming.swap(m_unconfirmed);
+    m_confirmingReports.swap(m_unconfirmedReports);
     control::ConsensusActions actions;
     m_reportRead = control::requestRead(*m_consensus, actions);
     control::tick(*m_consensus, Clock::now(), actions);
-    run(std::move(actions));
+    executeActions(std::move(actions));
 }
 
 void Coordinator::replyToReports(control::LogIndex index)
 {
     const TimePoint now = Clock::now();
     std::erase_if(m_entries, [this, now](const auto &item) {
-        const bool isGone = now - item.second.heard > entrySilence;
+        const bool isGone = now - item.second.lastReportAt > entryTimeout;
         if (isGone) {
             placement::noteEntryGone(m_placement, item.first);
         }
@@ -275,7 +275,7 @@
     // A new leader has heard few entry instances yet; all of them keep a connection.
     const auto entries = static_cast<unsigned>(std::max(m_entries.size(), m_hub->entryCount()));
     const auto loadMilliseconds = static_cast<unsigned>(std::chrono::ceil<milliseconds>(placement::expectedLoad(m_placement, now)).count());
-    for (const std::string &name : m_confirming) {
+    for (const std::string &name : m_confirmingReports) {
         const auto found = m_entries.find(name);
         if (found == m_entries.end()) {
             continue;
--- a/src/coordinator/coordinatorlog.cpp
+++ b/src/coordinator/coordinatorlog.cpp
@@ -30,17 +30,17 @@
     }
     control::ConsensusActions actions;
     control::receive(*m_consensus, peer.hello.voter, std::get<control::ConsensusMessage>(decoded), Clock::now(), actions);
-    run(std::move(actions));
+    executeActions(std::move(actions));
 }
 
-void Coordinator::run(control::ConsensusActions actions)
+void Coordinator::executeActions(control::ConsensusActions actions)
 {
     for (control::ConsensusAction &action : actions) {
-        carryOut(action);
+        executeAction(action);
     }
 }
 
-void Coordinator::carryOut(control::ConsensusAction &action)
+void Coordinator::executeAction(control::ConsensusAction &action)
 {
     if (const auto *message = std::get_if<control::SendToVoter>(&action)) {
         send(*message);
@@ -54,7 +54,7 @@
     } else if (auto *compact = std::get_if<control::CompactLog>(&action)) {
         m_storage->write(*compact);
     } else if (const auto *snapshot = std::get_if<control::InstallSnapshot>(&action)) {
-        install(*snapshot);
+        installSnapshot(*snapshot);
     } else if (const auto *apply = std::get_if<control::ApplyEntries>(&action)) {
         applyEntries(apply->entries);
     } else if (std::holds_alternative<control::LostLeadership>(action)) {
@@ -106,7 +106,7 @@
     takeSnapshot();
 }
 
-void Coordinator::install(const control::InstallSnapshot &snapshot)
+void Coordinator::installSnapshot(const control::InstallSnapshot &snapshot)
 {
     auto decoded = fleetstate::decodeSnapshot(*snapshot.data);
     if (const auto *error = std::get_if<fleetstate::FleetStateError>(&decoded)) {
@@ -152,7 +152,7 @@
         }
     }
     m_storage->flush();
-    run(std::move(actions));
+    executeActions(std::move(actions));
 }
 
 asio::awaitable<ChangeResult> Coordinator::change(fleetstate::FleetCommand command)
@@ -173,7 +173,7 @@
     pending->term = accepted.term;
     pending->timer.expires_after(m_settings.changeTimeout);
     m_changes[accepted.index] = pending;
-    run(std::move(actions));
+    executeActions(std::move(actions));
     if (!pending->changed && !pending->isLost) {
         if (const auto [error] = co_await pending->timer.async_wait(asio::as_tuple(asio::use_awaitable)); !error) {
             // The change may still be committed; the caller has no clear answer and sends it again.
@@ -219,7 +219,7 @@
     pending->timer.expires_after(m_settings.readTimeout);
     m_reads[number] = pending;
     control::tick(*m_consensus, Clock::now(), actions);
-    run(std::move(actions));
+    executeActions(std::move(actions));
     if (!pending->confirmed) {
         if (const auto [error] = co_await pending->timer.async_wait(asio::as_tuple(asio::use_awaitable)); !error) {
             m_reads.erase(number);
@@ -238,7 +238,7 @@
         if (confirmed) {
             replyToReports(m_state.index);
         }
-        m_confirming.clear();
+        m_confirmingReports.clear();
         confirmReports();
         return;
     }
--- a/src/coordinator/coordinatororders.cpp
+++ b/src/coordinator/coordinatororders.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 /** Takes over the holders of the replicated state; only those are new whose number differs. */
-void Coordinator::adoptHolders()
+void Coordinator::applyOrderHolders()
 {
     auto &slots = m_placement.slots.slots;
     for (std::size_t slot = 0; slot < std::min(slots.size(), m_state.orderHolders.size()); ++slot) {
@@ -32,7 +32,7 @@
     }
 }
 
-void Coordinator::planHolders(TimePoint now)
+void Coordinator::planOrderHolders(TimePoint now)
 {
     placement::noteCredit(m_placement.slots, m_settings.name, now);
     auto assignment = placement::planAssignment(m_placement.slots, now);
@@ -43,10 +43,10 @@
     observability::DecisionLine line("order-holder");
     line.add("holder", assignment->holder).add("slots", assignment->slots.size()).add("term", m_placement.term);
     observability::logDecision(line.text());
-    asio::co_spawn(m_context, assignHolder(std::move(*assignment), m_placement.term), asio::detached);
+    asio::co_spawn(m_context, assignOrderSlots(std::move(*assignment), m_placement.term), asio::detached);
 }
 
-asio::awaitable<void> Coordinator::assignHolder(placement::SlotAssignment assignment, control::Term term)
+asio::awaitable<void> Coordinator::assignOrderSlots(placement::SlotAssignment assignment, control::Term term)
 {
     fleetstate::FleetCommand command;
     command.kind = fleetstate::CommandKind::TakeOrders;
@@ -57,7 +57,7 @@
         co_return;
     }
     if (std::holds_alternative<Committed>(result)) {
-        planPlacementSoon();
+        schedulePlacement();
     } else {
         // It may still be committed: another assignment now could change the holder twice without a lease between.
         observability::logWarning("a change of the holder of orders was not committed in time");
@@ -76,12 +76,12 @@
     }
 }
 
-void Coordinator::takeCredit(const fleetlink::Peer &peer, const fleetlink::OrderCredit &credit)
+void Coordinator::handleCredit(const fleetlink::Peer &peer, const fleetlink::OrderCredit &credit)
 {
     if (!leads()) {
         return;
     }
-    m_holders[peer.hello.name] = {peer.number, credit.stamp};
+    m_holderCandidates[peer.hello.name] = {peer.number, credit.stamp};
     placement::noteCredit(m_placement.slots, peer.hello.name, Clock::now());
 }
 
@@ -102,12 +102,12 @@
     }
     const std::uint64_t number = ++m_lastRemoteOrder;
     m_remoteOrders[number] = {order, now, term};
-    const HolderView &view = m_holders[holder];
-    m_hub->send(view.peer, fleetlink::OrderRequest{number, term, view.stamp, order});
+    const HolderCandidate &candidate = m_holderCandidates[holder];
+    m_hub->send(candidate.peer, fleetlink::OrderRequest{number, term, candidate.stamp, order});
 }
 
 /** An order of the leader to an engine that this coordinator holds. */
-void Coordinator::carryOutOrder(const fleetlink::Peer &peer, const fleetlink::OrderRequest &request)
+void Coordinator::handleOrderRequest(const fleetlink::Peer &peer, const fleetlink::OrderRequest &request)
 {
     // A held-up order would arrive beside those of the next holder, which counts on the age of the credit.
     const std::int64_t age = fleetlink::bootMilliseconds() - static_cast<std::int64_t>(request.credit);
@@ -128,7 +128,7 @@
     });
 }
 
-void Coordinator::takeOrderReply(const fleetlink::OrderReply &reply)
+void Coordinator::handleOrderReply(const fleetlink::OrderReply &reply)
 {
     const auto found = m_remoteOrders.find(reply.number);
     if (found == m_remoteOrders.end()) {
@@ -165,7 +165,7 @@
         return;
     }
     placement::orderAnswered(m_placement, order, outcome, now);
-    planPlacementSoon();
+    schedulePlacement();
 }
 
 } // namespace mimosahollow::coordinator
--- a/src/coordinator/coordinatorplacement.cpp
+++ b/src/coordinator/coordinatorplacement.cpp
@@ -35,7 +35,7 @@
 void Coordinator::planPlacement(TimePoint now)
 {
     m_nextPlacement = now + placementInterval;
-    if (!leads() || !m_catalog || !hearsMajority(now)) {
+    if (!leads() || !m_catalog || !hasMajorityContact(now)) {
         return;
     }
     for (const placement::ModelOrder &order : placement::planOrders(m_placement, *m_catalog, now)) {
@@ -45,22 +45,22 @@
 }
 
 /** Plans once for the reports and answers that arrive within a short time: a plan looks at all copies of all engines. */
-void Coordinator::planPlacementSoon()
+void Coordinator::schedulePlacement()
 {
-    if (m_placementTimed) {
+    if (m_isPlacementScheduled) {
         return;
     }
-    m_placementTimed = true;
+    m_isPlacementScheduled = true;
     m_placementTimer.expires_after(placementDelay);
     m_placementTimer.async_wait([this](boost::system::error_code error) {
         if (!error) {
-            m_placementTimed = false;
+            m_isPlacementScheduled = false;
             planPlacement(Clock::now());
         }
     });
 }
 
-void Coordinator::readEngines(TimePoint now)
+void Coordinator::requestEngineReports(TimePoint now)
 {
     for (const std::string &server : placement::dueReports(m_placement, now)) {
         const placement::EngineState &engine = m_placement.engines.at(server);
--- a/src/coordinator/engineport.h
+++ b/src/coordinator/engineoperations.h
@@ -9,7 +9,7 @@
 namespace mimosahollow::coordinator {
 
 /** Calls to engines; the answer arrives on the event loop. */
-struct EnginePort
+struct EngineOperations
 {
     std::function<void(const placement::ModelOrder &order, std::function<void(placement::OrderOutcome)> answered)> order;
     /** Reads the models of the engine with id @p server at @p address; nothing when there is no proper answer. */
--- a/src/coordinator/voteridentity.cpp
+++ b/src/coordinator/voteridentity.cpp
@@ -16,7 +16,7 @@
 {
     std::ostringstream text;
     text << "voter " << static_cast<std::uint32_t>(identity.id) << '\n';
-    for (const control::Member &member : identity.firstMembers) {
+    for (const control::Member &member : identity.initialMembers) {
         text << "member " << static_cast<std::uint32_t>(member.id) << ' ' << member.address << '\n';
     }
     text << "end\n"; // a file without this line is torn
@@ -39,7 +39,7 @@
         } else if (word == "member") {
             std::string address;
             lines >> address;
-            identity.firstMembers.push_back({static_cast<control::VoterId>(id), address, false});
+            identity.initialMembers.push_back({static_cast<control::VoterId>(id), address, false});
         }
     }
     return std::nullopt;
@@ -78,7 +78,7 @@
 
 } // namespace
 
-std::variant<VoterIdentity, std::string> loadIdentity(storage::FileSystem &files, const std::string &folder, const VoterIdentity &fresh)
+std::variant<VoterIdentity, std::string> loadOrCreateIdentity(storage::FileSystem &files, const std::string &folder, const VoterIdentity &newIdentity)
 {
     if (auto problem = failure(files.makeFolder(folder)); !problem.empty()) {
         return problem;
@@ -104,10 +104,10 @@
         }
         return std::string("the identity file is damaged");
     }
-    if (auto problem = store(files, folder, toText(fresh)); !problem.empty()) {
+    if (auto problem = store(files, folder, toText(newIdentity)); !problem.empty()) {
         return problem;
     }
-    return fresh;
+    return newIdentity;
 }
 
 } // namespace mimosahollow::coordinator
--- a/src/coordinator/voteridentity.h
+++ b/src/coordinator/voteridentity.h
@@ -12,10 +12,11 @@
 struct VoterIdentity
 {
     control::VoterId id{};
-    control::Membership firstMembers; /**< Empty unless it founded the fleet. */
+    control::Membership initialMembers; /**< Empty unless it founded the fleet. */
 };
 
-/** Reads the identity in @p folder; when there is none, stores @p fresh and returns it. An error message otherwise. */
-[[nodiscard]] std::variant<VoterIdentity, std::string> loadIdentity(storage::FileSystem &files, const std::string &folder, const VoterIdentity &fresh);
+/** Reads the identity in @p folder; when there is none, stores @p newIdentity and returns it. An error message otherwise. */
+[[nodiscard]] std::variant<VoterIdentity, std::string>
+loadOrCreateIdentity(storage::FileSystem &files, const std::string &folder, const VoterIdentity &newIdentity);
 
 } // namespace mimosahollow::coordinator
--- a/tests/coordination/fakefleet.h
+++ b/tests/coordination/fakefleet.h
@@ -39,11 +39,11 @@
             options.failureDomain = std::string(1, name[0]);
             options.linkAddress = name;
             options.voters = voters;
-            options.firstBundle = bundle;
+            options.initialBundle = bundle;
             m_nodes[name].options = options;
             start(name);
         }
-        m_founding = false;
+        m_isNewFleet = false;
     }
 
     void start(const std::string &name)
@@ -55,15 +55,15 @@
         node.freshUntil = {};
         const auto &voters = node.options.voters;
         const bool isVoter = std::find(voters.begin(), voters.end(), name) != voters.end();
-        if (isVoter && mayVote(node.disk, node.options, m_founding)) {
+        if (isVoter && mayVote(node.disk, node.options, m_isNewFleet)) {
             auto made = makeVoter(node.options, node.disk, m_now);
             REQUIRE(std::holds_alternative<CoordinationState>(made));
             node.state = std::make_unique<CoordinationState>(std::get<CoordinationState>(std::move(made)));
         } else {
-            node.state = std::make_unique<CoordinationState>(makeFollower(node.options, m_now));
+            node.state = std::make_unique<CoordinationState>(makeNonVoter(node.options, m_now));
         }
         for (auto &[other, peer] : m_nodes) {
-            if (other != name && peer.state && !m_cut.contains(other)) {
+            if (other != name && peer.state && !m_isolated.contains(other)) {
                 connect(name, other);
             }
         }
@@ -76,21 +76,21 @@
             if (peer.state) {
                 Actions actions;
                 peerDown(*peer.state, name, m_now, actions);
-                carryOut(other, actions);
+                executeActions(other, actions);
             }
         }
     }
 
     /** Cuts the instances off from all others; among themselves they stay connected. */
-    void cut(const std::set<std::string> &names)
+    void isolate(const std::set<std::string> &names)
     {
-        m_cut = names;
+        m_isolated = names;
         for (auto &[name, node] : m_nodes) {
             for (auto &[other, peer] : m_nodes) {
-                if (node.state && m_cut.contains(name) != m_cut.contains(other)) {
+                if (node.state && m_isolated.contains(name) != m_isolated.contains(other)) {
                     Actions actions;
                     peerDown(*node.state, other, m_now, actions);
-                    carryOut(name, actions);
+                    executeActions(name, actions);
                 }
             }
         }
@@ -98,11 +98,11 @@
 
     void heal()
     {
-        const std::set<std::string> cut = std::move(m_cut);
-        m_cut.clear();
-        for (const std::string &name : cut) {
+        const std::set<std::string> isolated = std::move(m_isolated);
+        m_isolated.clear();
+        for (const std::string &name : isolated) {
             for (auto &[other, peer] : m_nodes) {
-                if (!cut.contains(other) && peer.state && m_nodes.at(name).state) {
+                if (!isolated.contains(other) && peer.state && m_nodes.at(name).state) {
                     connect(name, other);
                 }
             }
@@ -126,14 +126,14 @@
     {
         Actions actions;
         submit(*m_nodes.at(name).state, ticket, std::move(command), seconds(20), m_now, actions);
-        carryOut(name, actions);
+        executeActions(name, actions);
     }
 
     void leaveAt(const std::string &name)
     {
         Actions actions;
         leave(*m_nodes.at(name).state, m_now, actions);
-        carryOut(name, actions);
+        executeActions(name, actions);
     }
 
     Node &node(const std::string &name)
@@ -178,14 +178,14 @@
 
     void connect(const std::string &one, const std::string &two)
     {
-        const auto tell = [this](const std::string &name, const std::string &peer) {
+        const auto notifyPeerUp = [this](const std::string &name, const std::string &peer) {
             const Options &options = m_nodes.at(peer).options;
             Actions actions;
             peerUp(*m_nodes.at(name).state, {peer, options.failureDomain, options.linkAddress, options.incarnation}, m_now, actions);
-            carryOut(name, actions);
+            executeActions(name, actions);
         };
-        tell(one, two);
-        tell(two, one);
+        notifyPeerUp(one, two);
+        notifyPeerUp(two, one);
     }
 
     void deliver()
@@ -194,11 +194,11 @@
             Envelope envelope = std::move(m_envelopes.front());
             m_envelopes.pop_front();
             Node &node = m_nodes.at(envelope.to);
-            const bool reachable = m_cut.contains(envelope.from) == m_cut.contains(envelope.to);
+            const bool reachable = m_isolated.contains(envelope.from) == m_isolated.contains(envelope.to);
             if (node.state && reachable && node.options.incarnation == envelope.incarnation) {
                 Actions actions;
                 receive(*node.state, envelope.from, std::move(envelope.message), m_now, actions);
-                carryOut(envelope.to, actions);
+                executeActions(envelope.to, actions);
             }
         }
     }
@@ -209,29 +209,29 @@
             if (node.state) {
                 Actions actions;
                 tick(*node.state, m_now, m_steps, actions);
-                carryOut(name, actions);
+                executeActions(name, actions);
             }
         }
     }
 
-    void carryOut(const std::string &name, Actions &actions)
+    void executeActions(const std::string &name, Actions &actions)
     {
         Node &node = m_nodes.at(name);
         while (!actions.empty()) {
             Actions current;
             current.swap(actions);
             for (Action &action : current) {
-                carryOut(name, node, action, actions);
+                executeAction(name, node, action, actions);
             }
         }
     }
 
-    void carryOut(const std::string &name, Node &node, Action &action, Actions &more)
+    void executeAction(const std::string &name, Node &node, Action &action, Actions &newActions)
     {
         if (auto *message = std::get_if<SendMessage>(&action)) {
             m_envelopes.push_back({m_now + step, name, message->peer, m_nodes.at(message->peer).options.incarnation, std::move(message->message)});
         } else if (auto *order = std::get_if<StorageOrder>(&action)) {
-            store(node, *order, more);
+            store(node, *order, newActions);
         } else if (const auto *changed = std::get_if<ConfigurationChanged>(&action)) {
             // What is in force never reverts (P14).
             REQUIRE((!node.configuration || node.restarted || changed->configuration->logIndex >= node.configuration->logIndex));
@@ -245,33 +245,33 @@
         }
     }
 
-    void store(Node &node, StorageOrder &order, Actions &more)
+    void store(Node &node, StorageOrder &order, Actions &newActions)
     {
         control::DurableLog &disk = node.disk;
         if (const auto *vote = std::get_if<control::SaveVote>(&order)) {
             disk.term = vote->term;
             disk.vote = vote->vote;
-            storageSynced(*node.state, vote->write, m_now, more);
+            storageSynced(*node.state, vote->write, m_now, newActions);
         } else if (const auto *append = std::get_if<control::AppendLog>(&order)) {
             disk.entries.insert(disk.entries.end(), append->entries.begin(), append->entries.end());
-            storageSynced(*node.state, append->write, m_now, more);
+            storageSynced(*node.state, append->write, m_now, newActions);
         } else if (const auto *truncate = std::get_if<control::TruncateLog>(&order)) {
             std::erase_if(disk.entries, [&](const control::LogEntry &entry) {
                 return entry.index >= truncate->from;
             });
-            storageSynced(*node.state, truncate->write, m_now, more);
+            storageSynced(*node.state, truncate->write, m_now, newActions);
         } else if (const auto *compact = std::get_if<control::CompactLog>(&order)) {
             std::erase_if(disk.entries, [&](const control::LogEntry &entry) {
                 return entry.index <= compact->upTo;
             });
-            storageSynced(*node.state, compact->write, m_now, more);
+            storageSynced(*node.state, compact->write, m_now, newActions);
         } else if (auto *snapshot = std::get_if<StoreSnapshot>(&order)) {
             disk.snapshot = snapshot->point;
             disk.snapshotData = snapshot->data;
             if (snapshot->replacesLog) {
                 disk.entries.clear();
             }
-            snapshotStored(*node.state, snapshot->point.index, snapshot->replacesLog, snapshot->data, m_now, more);
+            snapshotStored(*node.state, snapshot->point.index, snapshot->replacesLog, snapshot->data, m_now, newActions);
         }
     }
 
@@ -293,11 +293,11 @@
 
     std::map<std::string, Node> m_nodes;
     std::deque<Envelope> m_envelopes;
-    std::set<std::string> m_cut;
+    std::set<std::string> m_isolated;
     TimePoint m_now{seconds(1000)};
     std::int64_t m_steps = 0;
     std::uint64_t m_incarnations = 100;
-    bool m_founding = true;
+    bool m_isNewFleet = true;
 };
 
 } // namespace mimosahollow::coordination
--- a/tests/coordination/fleet.cpp
+++ b/tests/coordination/fleet.cpp
@@ -52,8 +52,8 @@
     return count;
 }
 
-constexpr std::size_t allInstances = 7;
-constexpr std::size_t allPools = 6; // a pool and the token buckets in each of three failure domains
+constexpr std::size_t instanceCount = 7;
+constexpr std::size_t poolCount = 6; // a pool and the token buckets in each of three failure domains
 // An election takes up to 0.6 s, a lease renewal up to 1 s, and a relay that is gone is noticed after 2 s.
 constexpr Duration recoveryTime = seconds(8);
 
@@ -65,8 +65,8 @@
     FakeFleet fleet(smallBundle());
     fleet.run(seconds(12));
     REQUIRE_FALSE(fleet.leader().empty());
-    REQUIRE(freshInstances(fleet) == allInstances);
-    REQUIRE(ownedPools(fleet) == allPools);
+    REQUIRE(freshInstances(fleet) == instanceCount);
+    REQUIRE(ownedPools(fleet) == poolCount);
 
     SECTION("acknowledges a withdrawn key when no instance accepts it any more")
     {
@@ -85,22 +85,22 @@
         fleet.crash(leader);
         fleet.run(recoveryTime);
         REQUIRE_FALSE(fleet.leader().empty());
-        REQUIRE(freshInstances(fleet) == allInstances - 1);
-        REQUIRE(ownedPools(fleet) == allPools);
+        REQUIRE(freshInstances(fleet) == instanceCount - 1);
+        REQUIRE(ownedPools(fleet) == poolCount);
 
         SECTION("and takes it back")
         {
             fleet.node(leader).restarted = true;
             fleet.start(leader);
             fleet.run(recoveryTime);
-            REQUIRE(freshInstances(fleet) == allInstances);
-            REQUIRE(ownedPools(fleet) == allPools);
+            REQUIRE(freshInstances(fleet) == instanceCount);
+            REQUIRE(ownedPools(fleet) == poolCount);
         }
     }
 
     SECTION("waits for the leases of a failure domain that is cut off before it acknowledges")
     {
-        fleet.cut({"b1", "b2"});
+        fleet.isolate({"b1", "b2"});
         fleet.run(seconds(1));
         const std::string outside = "a2";
         fleet.submitAt(outside, 2, makeCommand(2, control::WithdrawKey{"north-key"}));
@@ -123,15 +123,15 @@
                     REQUIRE((!fleet.isFresh(name) || fleet.node(name).configuration->keys.empty()));
                 }
             }
-            REQUIRE(freshInstances(fleet) == allInstances);
+            REQUIRE(freshInstances(fleet) == instanceCount);
         }
     }
 
     SECTION("leaves its pools to a failure domain that is cut off as a whole")
     {
-        fleet.cut({"b1", "b2"});
+        fleet.isolate({"b1", "b2"});
         fleet.run(seconds(30));
-        REQUIRE(ownedPools(fleet) == allPools);
+        REQUIRE(ownedPools(fleet) == poolCount);
     }
 
     SECTION("keeps an accepted change over a restart of all voters")
@@ -148,7 +148,7 @@
             fleet.start(name);
         }
         fleet.run(recoveryTime);
-        REQUIRE(freshInstances(fleet) == allInstances);
+        REQUIRE(freshInstances(fleet) == instanceCount);
         for (const auto &[name, node] : fleet.nodes()) {
             REQUIRE(node.configuration->domains[1].out);
         }
@@ -183,7 +183,7 @@
         fleet.node(leader).restarted = true;
         fleet.start(leader);
         fleet.run(recoveryTime);
-        REQUIRE(freshInstances(fleet) == allInstances);
+        REQUIRE(freshInstances(fleet) == instanceCount);
         for (const auto &[name, node] : fleet.nodes()) {
             REQUIRE(node.configuration->keys.empty());
         }
@@ -195,6 +195,6 @@
         fleet.run(seconds(1));
         fleet.crash("c2");
         fleet.run(recoveryTime);
-        REQUIRE(ownedPools(fleet) == allPools);
+        REQUIRE(ownedPools(fleet) == poolCount);
     }
 }
--- a/tests/coordinator/fleet.cpp
+++ b/tests/coordinator/fleet.cpp
@@ -49,16 +49,16 @@
                + std::to_string(linkPort);
     }
 
-    void start(unsigned number, bool founds)
+    void start(unsigned number, bool bootstraps)
     {
         CoordinatorSettings settings;
         settings.name = "core-" + std::to_string(number);
         settings.domain = "domain-" + std::to_string(number);
         settings.linkAddress = address(number);
         settings.seeds = {address(1), address(2), address(3)};
-        settings.foundsFleet = founds;
+        settings.bootstrapsFleet = bootstraps;
         settings.dataFolder = (folder / settings.name).string();
-        EnginePort engines;
+        EngineOperations engines;
         engines.order = [](const placement::ModelOrder &, const std::function<void(placement::OrderOutcome)> &answered) {
             answered(placement::OrderOutcome::Rejected);
         };
