--- a/include/mimosahollow/coordination/actions.h
+++ b/include/mimosahollow/coordination/actions.h
@@ -16,7 +16,7 @@
 
 namespace mimosahollow::coordination {
 
-/** What the control parts of instances send to each other. */
+/** Control-plane messages between instances. */
 using Message = std::variant<membership::Heartbeat,
                              membership::Promise,
                              membership::Subscribe,
@@ -37,50 +37,52 @@
 using control::StorageOrder;
 using control::StoreSnapshot;
 
-/** A configuration is in force on this instance. */
+/** This instance has applied a configuration. */
 struct ConfigurationChanged
 {
     std::shared_ptr<const control::Configuration> configuration;
     InstanceId self{}; /**< 0 until this process is registered. */
-    DomainId home{};
+    DomainId home{}; /**< Failure domain of this instance; 0 if the configuration does not contain it. */
 };
 
+/** The freshness lease was renewed: the configuration of this instance may be used until then. */
 struct FreshnessChanged
 {
     TimePoint freshUntil{};
 };
 
-/** Lease of a pool, or of the home domain's token buckets. */
+/** The lease of a pool, or of the token buckets of the own failure domain, was acquired, or its end has changed. */
 struct LeaseChanged
 {
     PoolId pool{};
-    bool buckets = false;
+    bool buckets = false; /**< The lease is for the token buckets of the failure domain. */
     FencingNumber fencing = 0;
     TimePoint ownedUntil{};
-    TimePoint ordersFrom{}; /**< First order to a server that ignores fencing numbers. */
+    TimePoint ordersFrom{}; /**< Earliest order to a backend server that ignores fencing numbers. */
 };
 
 enum class CommandState : std::uint8_t {
-    NotSent, /**< It reached no leader and has no effect. */
-    Unknown, /**< No answer in time; it may take effect. */
-    Done,
+    NotSent, /**< It was not sent to any instance and has no effect. */
+    Unknown, /**< No reply before the timeout; it may still take effect. */
+    Done, /**< The leader has replied with a result. */
 };
 
-/** End of a command that submit() took. */
+/** Final state of a command that was passed to submit(). */
 struct CommandDone
 {
     std::uint64_t ticket = 0;
     CommandState state{};
     control::CommandResult result;
-    bool inForceEverywhere = false;
+    bool inForceEverywhere = false; /**< Every instance has applied the change or has an expired freshness lease. */
 };
 
+/** Request to open a connection to the link address of an instance. */
 struct ConnectTo
 {
     std::string address;
 };
 
-/** Something that an operator should see in the log. */
+/** A line for the operator's log. */
 struct Notice
 {
     std::string text;
--- a/include/mimosahollow/coordination/coordinationstate.h
+++ b/include/mimosahollow/coordination/coordinationstate.h
@@ -19,17 +19,17 @@
 
 namespace mimosahollow::coordination {
 
-/** A command of this instance that has no final answer yet. It is sent again, under the same command id, until its deadline. */
+/** A command of this instance without a final reply. It is sent again, with the same command id, until its deadline. */
 struct OutstandingCommand
 {
     std::uint64_t ticket = 0;
     control::Command command;
     TimePoint deadline{};
-    TimePoint sendAt{};
-    bool sent = false;
+    TimePoint sendAt{}; /**< Time of the next attempt. */
+    bool sent = false; /**< Sent or proposed at least once. */
 };
 
-/** A proposal of this leader whose sender waits for the result. */
+/** A proposal of this leader whose sender waits for the result; keyed by log index. */
 struct PendingProposal
 {
     control::Term term = 0;
@@ -37,7 +37,7 @@
     std::uint64_t sequence = 0;
 };
 
-/** A change that is committed and waits until it is in force everywhere. */
+/** A committed change that is acknowledged once every instance has applied it or has an expired freshness lease. */
 struct UnacknowledgedChange
 {
     control::LogIndex index = 0;
@@ -46,7 +46,7 @@
     control::CommandResult result;
 };
 
-/** The parts that only a voter has. */
+/** State that only voters have. */
 struct VoterState
 {
     control::ConsensusState consensus;
@@ -54,12 +54,12 @@
     std::optional<membership::LeaderState> leader; /**< Present while this voter leads. */
     std::map<control::LogIndex, PendingProposal> proposals;
     std::deque<UnacknowledgedChange> unacknowledgedChanges;
-    std::map<std::uint64_t, TimePoint> reads; /**< Start times of leadership confirmations. */
-    std::set<PoolId> pendingAssignments; /**< An assignment is in the log and not yet applied. */
-    control::LogIndex snapshotIndex = 0; /**< Newest snapshot made or being made. */
+    std::map<std::uint64_t, TimePoint> reads; /**< Start times of linearizable reads in progress, by read number. */
+    std::set<PoolId> pendingAssignments; /**< Pools whose assignment is proposed and not yet applied. */
+    control::LogIndex snapshotIndex = 0; /**< Log index of the newest snapshot taken or being written. */
 };
 
-/** Control state of one instance in every role. Touched by one thread only; driven by the functions in coordination.h. */
+/** Control state of one instance in any role. Used by one thread only, through the functions in coordination.h. */
 struct CoordinationState
 {
     Options options;
@@ -75,17 +75,17 @@
     std::optional<VoterState> voter;
     std::set<std::string> peersUp;
     std::string upstream; /**< Peer that this instance subscribes to. */
-    TimePoint upstreamHeardAt{};
-    std::uint32_t upstreamFailures = 0;
+    TimePoint upstreamHeardAt{}; /**< Last update or lease renewal from it; heartbeats do not count. */
+    std::uint32_t upstreamFailures = 0; /**< Lost or silent upstreams so far; selects the next voter to try. */
     std::map<std::uint64_t, OutstandingCommand> commands; /**< By sequence. */
     std::uint64_t nextSequence = 1;
     TimePoint nextHeartbeat{};
     TimePoint nextRenewal{};
     TimePoint nextAssignment{};
     TimePoint nextRegistration{};
-    TimePoint reportedFreshUntil{};
-    std::map<PoolId, TimePoint> reportedLeaseEnds;
-    std::int64_t wallClock = 0; /**< Milliseconds since 1970 at the last tick; only for records. */
+    TimePoint reportedFreshUntil{}; /**< Of the last FreshnessChanged. */
+    std::map<PoolId, TimePoint> reportedLeaseEnds; /**< Of the last LeaseChanged of each pool. */
+    std::int64_t wallClock = 0; /**< Milliseconds since 1970 at the last tick; used only for the times in records. */
     bool leaving = false;
 };
 
--- a/include/mimosahollow/coordination/options.h
+++ b/include/mimosahollow/coordination/options.h
@@ -10,17 +10,17 @@
 
 namespace mimosahollow::coordination {
 
-/** What an instance knows about itself and the fleet at its start. */
+/** Start-up options of an instance. */
 struct Options
 {
     std::string name;
     std::string failureDomain;
     std::string linkAddress;
     std::uint64_t incarnation = 0; /**< Grows with each process start. */
-    std::vector<std::string> voters; /**< Names; the position plus one is the voter's number. */
+    std::vector<std::string> voters; /**< Names; the voter id is the position, counted from 1. */
     membership::LeaseTimes times;
     std::uint64_t seed = 0;
-    std::shared_ptr<const control::Configuration> initialBundle; /**< Put in force by the first leader of an empty fleet; may be null. */
+    std::shared_ptr<const control::Configuration> initialBundle; /**< Applied by the first leader of an empty fleet; may be null. */
 };
 
 } // namespace mimosahollow::coordination
--- a/src/coordination/internal.h
+++ b/src/coordination/internal.h
@@ -2,28 +2,30 @@
 
 #include "mimosahollow/coordination/coordination.h"
 
-// Functions shared by the sources of this module.
+// Functions shared by the sources of the coordination module.
 
 namespace mimosahollow::coordination {
 
+/** Sends @p message if @p peer is connected; drops it otherwise. */
 void send(CoordinationState &state, const std::string &peer, Message message, Actions &actions);
 [[nodiscard]] bool isLeader(const CoordinationState &state) noexcept;
 
-/** Name of a voter; empty for an unknown number. */
+/** Name of a voter; empty for an unknown id. */
 [[nodiscard]] std::string voterName(const CoordinationState &state, control::VoterId voter);
 [[nodiscard]] control::VoterId voterId(const CoordinationState &state, std::string_view name);
 
-/** Carries out what the replicated log asks for. */
+/** Executes the actions that the consensus module has requested. */
 void executeActions(CoordinationState &state, control::ConsensusActions &consensusActions, TimePoint now, Actions &actions);
-/** Proposes @p command; returns where it stands in the log, or nothing when this voter does not lead. */
+/** Proposes @p command. Returns its log index and term, or nothing if the proposal was not accepted. */
 [[nodiscard]] std::optional<control::ProposalAccepted> proposeCommand(CoordinationState &state, control::Command command, TimePoint now, Actions &actions);
 [[nodiscard]] control::CommandId makeCommandId(CoordinationState &state);
 
 void becomeLeader(CoordinationState &state, control::Term term, TimePoint now, Actions &actions);
 void loseLeadership(CoordinationState &state);
 void tickLeader(CoordinationState &state, TimePoint now, Actions &actions);
+/** A majority has confirmed the leadership: answers the renewal requests that arrived before @p read began. */
 void onReadConfirmed(CoordinationState &state, std::uint64_t read, TimePoint now, Actions &actions);
-/** A command was applied at @p index by this leader. */
+/** The entry at @p index was applied. On a leader, replies to its sender or queues the acknowledgement. */
 void onCommandApplied(CoordinationState &state,
                       control::LogIndex index,
                       control::Term term,
@@ -31,12 +33,14 @@
                       const control::CommandResult &result,
                       TimePoint now,
                       Actions &actions);
+/** Acknowledges changes that every instance has applied, apart from those whose freshness lease has expired. */
 void acknowledgeChanges(CoordinationState &state, TimePoint now, Actions &actions);
 
-/** Puts a configuration in force here. */
+/** Makes @p configuration the current configuration of this instance. */
 void activateConfiguration(CoordinationState &state, std::shared_ptr<const control::Configuration> configuration, TimePoint now, Actions &actions);
-/** Tells the leader which log index is applied here, and passes the feed on. */
+/** Confirms the applied log index to the leader and forwards new updates to the subscribers. */
 void reportApplied(CoordinationState &state, Version index, TimePoint now, Actions &actions);
+/** Sends pending snapshots and increments to the subscribers. */
 void sendFeedUpdates(CoordinationState &state, Actions &actions);
 void onUpdate(CoordinationState &state, const std::string &peer, membership::Update update, TimePoint now, Actions &actions);
 void onSubscribe(CoordinationState &state, const std::string &peer, const membership::Subscribe &subscribe, Actions &actions);
@@ -56,7 +60,7 @@
 void replyToCommand(
     CoordinationState &state, const std::string &peer, std::uint64_t sequence, const control::CommandResult &result, bool inForceEverywhere, Actions &actions);
 
-/** Peer that leads to the control leader: itself, the leader, or the instance that this one subscribes to. */
+/** Next hop towards the leader: the leader itself if connected, otherwise the upstream instance. */
 [[nodiscard]] std::string upstreamPeer(const CoordinationState &state);
 
 } // namespace mimosahollow::coordination
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -27,19 +27,19 @@
 
 namespace mimosahollow::coordinator {
 
-/** The change is durable on a majority and in force. */
+/** The change is durable on a majority and applied. */
 struct Committed
 {
-    bool changed = false; /**< False for a change that was overtaken or repeated. */
+    bool changed = false; /**< False if the change was superseded or a duplicate. */
 };
 
-/** Another coordinator decides. */
+/** This coordinator is not the leader. */
 struct NotLeader
 {
-    std::string leaderLink; /**< Link address of the leader; empty when not known. */
+    std::string leaderLink; /**< Link address of the leader; empty if unknown. */
 };
 
-/** Whether the change will come into force is not known, or nothing can be decided now. */
+/** The outcome of a change is unknown, or no decision is possible at present. */
 struct Unavailable
 {
     std::string reason;
@@ -53,16 +53,16 @@
 {
     std::uint64_t changes = 0;
     std::uint64_t changesFailed = 0;
-    std::uint64_t announcements = 0;
-    std::uint64_t orders = 0;
+    std::uint64_t announcements = 0; /**< Announcements of backend servers received directly. */
+    std::uint64_t orders = 0; /**< Load and unload orders to engines. */
     std::uint64_t ordersUnanswered = 0;
-    std::uint64_t reports = 0;
-    std::uint64_t elections = 0;
+    std::uint64_t reports = 0; /**< Reports of entry instances. */
+    std::uint64_t elections = 0; /**< Elections won. */
 };
 
 /**
- * A process that keeps the replicated state, the list of backend servers, and, while it leads, the buckets of the organisations
- * and the placement of adapters. Runs on one event loop; only storage has a thread of its own.
+ * Maintains the replicated fleet state and the list of backend servers. While it is the leader, it also manages the token buckets
+ * of the organisations and the placement of adapters. Runs on one event loop; only storage has a thread of its own.
  */
 class Coordinator
 {
@@ -72,20 +72,23 @@
     Coordinator(const Coordinator &) = delete;
     Coordinator &operator=(const Coordinator &) = delete;
 
-    /** Opens storage and the link listener. Returns an error message or nothing. */
+    /** Opens storage and the link listener. Returns an error message, empty on success. */
     [[nodiscard]] std::string start();
-    /** Seeds of changed settings. */
+    /** Replaces the seed addresses and connects to them. */
     void setSeeds(const std::vector<std::string> &seeds);
 
+    /** Proposes @p command and waits until it is applied, at most CoordinatorSettings::changeTimeout. */
     [[nodiscard]] boost::asio::awaitable<ChangeResult> change(fleetstate::FleetCommand command);
-    /** The newest state, confirmed by a majority. */
+    /** Linearizable read: returns the state after a majority has confirmed the leadership. */
     [[nodiscard]] boost::asio::awaitable<ReadResult> read();
 
+    /** A backend server has announced itself to this coordinator. */
     void announce(registry::ServerRecord record);
+    /** A backend server has given notice of its departure. */
     void removeServer(const std::string &server);
 
     [[nodiscard]] std::string metricsText() const;
-    /** Called when storage has failed: nothing can be confirmed any more. */
+    /** Called when storage has failed: this coordinator can no longer acknowledge anything. */
     std::function<void(const std::string &)> storageFailed;
 
 private:
@@ -155,24 +158,24 @@
     control::VoterId m_self{};
 
     fleetstate::FleetState m_state;
-    std::shared_ptr<const catalog::CatalogIndex> m_catalog; // of m_state; null before the first one
+    std::shared_ptr<const catalog::CatalogIndex> m_catalog; // decoded from m_state; null until a catalog is committed
     control::LogIndex m_snapshotIndex = 0;
     std::size_t m_bytesSinceSnapshot = 0;
     std::map<control::LogIndex, std::shared_ptr<PendingChange>> m_changes;
     std::map<std::uint64_t, std::shared_ptr<PendingRead>> m_reads;
 
     registry::ServerRegistry m_registry;
-    std::map<std::string, registry::ServerRecord> m_refreshedServers; // not yet passed on to the other coordinators
-    std::map<std::string, EntryView> m_entries; // of the leader, by name
+    std::map<std::string, registry::ServerRecord> m_refreshedServers; // announced again, not yet forwarded to the other coordinators
+    std::map<std::string, EntryView> m_entries; // on the leader: entry instances by name
 
-    bool m_isLeading = false; // the first entry of this leader's term is applied
+    bool m_isLeading = false; // set once the first entry of the own term as leader is applied
     TimePoint m_leadsSince{};
     allowance::TokenBank m_bank;
     placement::PlacementState m_placement;
     struct HolderCandidate
     {
         fleetlink::PeerNumber peer = 0;
-        std::uint64_t stamp = 0; // its newest credit
+        std::uint64_t stamp = 0; // of its newest credit
     };
     struct RemoteOrder
     {
@@ -180,24 +183,24 @@
         TimePoint sent{};
         control::Term term = 0;
     };
-    std::map<std::string, HolderCandidate> m_holderCandidates; // of the leader: coordinators that can send orders, by name
-    std::map<std::uint64_t, RemoteOrder> m_remoteOrders; // of the leader: sent by another coordinator, by number
+    std::map<std::string, HolderCandidate> m_holderCandidates; // on the leader: coordinators that can send orders, by name
+    std::map<std::uint64_t, RemoteOrder> m_remoteOrders; // on the leader: orders sent through another coordinator, by number
     std::uint64_t m_lastRemoteOrder = 0;
-    control::Term m_orderTerm = 0; // of the newest leader whose orders were carried out here
+    control::Term m_orderTerm = 0; // newest term in which this coordinator executed an order of a leader
     TimePoint m_nextCredit{};
     bool m_placementFlushPosted = false;
-    std::optional<std::uint64_t> m_reportRead; // confirmation for the reports in m_confirmingReports
-    std::vector<std::string> m_confirmingReports;
-    std::vector<std::string> m_unconfirmedReports;
-    std::map<fleetlink::PeerNumber, std::uint64_t> m_sentCatalogs; // version of the catalog that each connection has
+    std::optional<std::uint64_t> m_reportRead; // leadership confirmation for m_confirmingReports
+    std::vector<std::string> m_confirmingReports; // entry instances that are answered by the confirmation in progress
+    std::vector<std::string> m_unconfirmedReports; // entry instances that are answered by the next one
+    std::map<fleetlink::PeerNumber, std::uint64_t> m_sentCatalogs; // version of the catalog last sent on each connection
     std::string m_announcedLeader;
     TimePoint m_nextServerSync{};
     TimePoint m_nextVoterPlan{};
-    TimePoint m_nextPlacement{}; // at the latest
+    TimePoint m_nextPlacement{}; // latest time; a report or an answer can cause a plan earlier
     boost::asio::steady_timer m_placementTimer;
     bool m_isPlacementScheduled = false;
     CoordinatorCounters m_counters;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); // handlers that outlive this object check it
+    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); // shared with asynchronous handlers that may outlive this object
 };
 
 } // namespace mimosahollow::coordinator
--- a/src/coordinator/coordinatorinternal.h
+++ b/src/coordinator/coordinatorinternal.h
@@ -10,7 +10,7 @@
 
 namespace mimosahollow::coordinator {
 
-/** Waits for an entry of the log to be applied. */
+/** A proposed change that waits for its log entry to be applied. */
 struct Coordinator::PendingChange
 {
     explicit PendingChange(boost::asio::io_context &context) : timer(context)
@@ -19,10 +19,10 @@
     boost::asio::steady_timer timer;
     control::Term term = 0;
     std::optional<bool> changed; /**< Set once the entry is applied. */
-    bool isLost = false; /**< Another entry took its place, or the leadership was lost. */
+    bool isLost = false; /**< Another entry was committed at its index, or the leadership was lost. */
 };
 
-/** Waits for a majority to confirm that this coordinator leads. */
+/** A read that waits for a majority to confirm that this coordinator is the leader. */
 struct Coordinator::PendingRead
 {
     explicit PendingRead(boost::asio::io_context &context) : timer(context)
@@ -32,15 +32,15 @@
     std::optional<bool> confirmed;
 };
 
-/** An entry instance as the leader sees it. */
+/** The leader's view of an entry instance. */
 struct Coordinator::EntryView
 {
     fleetlink::PeerNumber peer = 0;
     TimePoint lastReportAt{};
-    bool hasHistory = false; /**< It has told what it spent of the grants of an earlier leader. */
+    bool hasHistory = false; /**< It has reported the tokens that it spent from the grants of an earlier leader. */
     std::uint64_t stamp = 0; /**< Of its last report. */
-    std::vector<fleetlink::NamedNumber> running;
-    std::map<std::string, double> granted; /**< Tokens not sent to it yet, by organisation. */
+    std::vector<fleetlink::NamedNumber> running; /**< Its running calls, by backend server. */
+    std::map<std::string, double> granted; /**< Granted tokens not yet sent to it, by organisation. */
 };
 
 } // namespace mimosahollow::coordinator
--- a/src/coordinator/coordinatorsettings.h
+++ b/src/coordinator/coordinatorsettings.h
@@ -12,7 +12,7 @@
 
 namespace mimosahollow::coordinator {
 
-/** Timing of the replicated log on machines with a part of a core, where a wake-up costs processor time. */
+/** Timing of the replicated log. Long intervals, as machines may have a fraction of a core and each wake-up costs CPU time. */
 inline control::ConsensusOptions consensusDefaults()
 {
     control::ConsensusOptions options;
@@ -26,22 +26,22 @@
 {
     std::string name;
     std::string domain;
-    std::string linkAddress; /**< Where other instances connect. */
+    std::string linkAddress; /**< Address on which other instances connect. */
     std::vector<std::string> seeds; /**< Link addresses of coordinators; may be out of date. */
-    bool bootstrapsFleet = false; /**< The whole fleet starts for the first time: the seeds are its first voters. */
+    bool bootstrapsFleet = false; /**< First start of the whole fleet: the seeds are its initial voters. */
     std::string dataFolder;
-    Duration changeTimeout = milliseconds(1500); /**< For one change to be committed; callers resend after less than 4 s. */
-    Duration readTimeout = milliseconds(700); /**< For a confirmed read; callers give up after 1 s. */
+    Duration changeTimeout = milliseconds(1500); /**< To commit a change; callers resend after less than 4 s. */
+    Duration readTimeout = milliseconds(700); /**< For a linearizable read; callers give up after 1 s. */
     /**
-     * A leader orders engines only while a majority has answered it within this time. Followers elect another one after
-     * 500 ms of silence at the earliest, so its last order lies before the next leader's first moment.
+     * A leader sends orders to engines only while a majority has answered it within this time. Followers start an election after
+     * 500 ms without a heartbeat at the earliest, so the last order of a leader precedes the term of the next one.
      */
     Duration majorityContactTimeout = milliseconds(350);
-    /** Voters that know that there is no leader stand for election within this time; a round of votes takes 3 to 25 ms. */
+    /** Voters that know that there is no leader start an election after a random delay up to this; a round of votes takes 3 to 25 ms. */
     Duration electionSpread = milliseconds(150);
-    Duration creditInterval = milliseconds(200); /**< Of telling the leader that orders can be sent; three fit into its limit. */
-    Duration orderTimeout = milliseconds(500); /**< For an order by way of another coordinator: the time of an answer, and two hops. */
-    Duration handoverMinimum = milliseconds(150); /**< Entry instances connect to a new leader within this time. */
+    Duration creditInterval = milliseconds(200); /**< Between credits to the leader; three fit into the silence after which a coordinator gets no orders. */
+    Duration orderTimeout = milliseconds(500); /**< For an order through another coordinator: the engine's response time and two hops. */
+    Duration handoverMinimum = milliseconds(150); /**< Minimum wait before grants start; entry instances connect to a new leader within this time. */
     Duration tickInterval = milliseconds(25); /**< A quarter of a heartbeat. */
     control::ConsensusOptions consensus = consensusDefaults();
     registry::RegistryOptions registry;
--- a/src/coordinator/engineoperations.h
+++ b/src/coordinator/engineoperations.h
@@ -8,11 +8,12 @@
 
 namespace mimosahollow::coordinator {
 
-/** Calls to engines; the answer arrives on the event loop. */
+/** Requests to engines. The callbacks run on the coordinator's event loop. */
 struct EngineOperations
 {
+    /** Sends a load or unload order. */
     std::function<void(const placement::ModelOrder &order, std::function<void(placement::OrderOutcome)> answered)> order;
-    /** Reads the models of the engine with id @p server at @p address; nothing when there is no proper answer. */
+    /** Reads which models the engine with id @p server at @p address holds; nullopt if there is no valid response. */
     std::function<void(const std::string &server, const std::string &address, std::function<void(std::optional<placement::ModelReport>)> answered)> report;
 };
 
--- a/src/coordinator/voteridentity.h
+++ b/src/coordinator/voteridentity.h
@@ -8,14 +8,14 @@
 
 namespace mimosahollow::coordinator {
 
-/** Who this coordinator is in the replicated log. Lasts as long as its disk: with an empty disk it becomes another voter. */
+/** Identity of a coordinator in the replicated log. Bound to its disk: with an empty disk it joins as a new voter. */
 struct VoterIdentity
 {
     control::VoterId id{};
-    control::Membership initialMembers; /**< Empty unless it founded the fleet. */
+    control::Membership initialMembers; /**< Empty unless this coordinator is an initial voter of the fleet. */
 };
 
-/** Reads the identity in @p folder; when there is none, stores @p newIdentity and returns it. An error message otherwise. */
+/** Reads the identity in @p folder; if there is none, stores and returns @p newIdentity. Returns an error message on failure. */
 [[nodiscard]] std::variant<VoterIdentity, std::string>
 loadOrCreateIdentity(storage::FileSystem &files, const std::string &folder, const VoterIdentity &newIdentity);
 
