--- a/benchmark/membership.cpp
+++ b/benchmark/membership.cpp
@@ -97,10 +97,10 @@
             const DomainId domain = m_registered[number(member.holder.self) - 1].domain;
             applyControlState(member.holder, domain, m_registered, m_pools, m_now);
             for (const Member &other : m_members) {
-                learn(member.view, other.view.self, m_now);
+                recordInstance(member.view, other.view.self, m_now);
             }
         }
-        m_leader = becomeLeader(1, {}, 1, m_registered, m_pools, m_now);
+        m_leader = makeLeaderState(1, {}, 1, m_registered, m_pools, m_now);
     }
 
     void run(Duration duration)
@@ -170,7 +170,7 @@
         {
             const Timer timer(member.cost);
             actions = tickView(member.view, m_now, member.random);
-            static_cast<void>(startPools(member.holder, m_now));
+            static_cast<void>(activatePools(member.holder, m_now));
         }
         for (const OutgoingHeartbeat &outgoing : actions.heartbeats) {
             Member &to = find(outgoing.to);
@@ -205,14 +205,14 @@
                 });
             }
         }
-        std::vector<AnsweredRenewal> answers;
+        std::vector<OutgoingRenewReply> answers;
         {
             const Timer timer(leader.cost);
             answers = answerRenewals(m_leader, m_pools, m_now, m_now);
             updateReachability(m_leader, m_now);
             static_cast<void>(planAssignments(m_leader, m_pools, m_now));
         }
-        for (const AnsweredRenewal &answer : answers) {
+        for (const OutgoingRenewReply &answer : answers) {
             reply(leader, find(answer.to), answer.reply);
         }
     }
@@ -222,7 +222,7 @@
         RenewalOutcome outcome;
         send(from, to, message, link::decodeRenewReply, [&](const RenewReply &received) {
             outcome = onRenewReply(to.renewal, received, m_now);
-            onLeaderRenewal(to.holder, outcome.ownPools, outcome.ownPoolsFrom);
+            onLeaderRenewal(to.holder, outcome.ownPools, outcome.ownPoolsLeaseStart);
         });
         for (const auto &[follower, passed] : outcome.replies) {
             reply(to, m_members[number(follower) - 1], passed);
--- a/include/mimosahollow/membership/assignment.h
+++ b/include/mimosahollow/membership/assignment.h
@@ -10,7 +10,7 @@
 
 enum class AssignmentStep : std::uint8_t {
     Assign, /**< Commit the owner with the fencing number. */
-    AskForRelease, /**< Ask the present owner for a graceful handover to the new one. */
+    RequestRelease, /**< Ask the present owner for a graceful handover to the new one. */
 };
 
 struct PlannedAssignment
--- a/include/mimosahollow/membership/leasetime.h
+++ b/include/mimosahollow/membership/leasetime.h
@@ -17,7 +17,7 @@
  *
  * The granter's clock may be fast and the holder's slow by the tolerated error; the extra millisecond covers rounding.
  */
-[[nodiscard]] constexpr Duration outerLease(Duration lease) noexcept
+[[nodiscard]] constexpr Duration granterLeaseDuration(Duration lease) noexcept
 {
     constexpr std::int64_t whole = 1000;
     return lease * (whole + clockRateErrorPermille) / (whole - clockRateErrorPermille) + milliseconds(1);
--- a/include/mimosahollow/membership/poolholder.h
+++ b/include/mimosahollow/membership/poolholder.h
@@ -20,19 +20,19 @@
 };
 
 /** What an instance knows and has promised about one pool of its failure domain. */
-struct HeldPool
+struct PoolLeaseState
 {
     InstanceId owner{};
     FencingNumber fencing = 0;
-    TimePoint learntAt = neverTime;
+    TimePoint learnedAt = neverTime;
     bool released = false; /**< This instance was the owner and has given the pool up. */
-    bool accepted = false; /**< This instance has started as the owner. */
-    TimePoint acceptedAt = neverTime;
+    bool activated = false; /**< This instance has started as the owner. */
+    TimePoint activatedAt = neverTime;
     FencingNumber releasedFencing = 0; /**< Newest number under which an owner has said that it gave the pool up. */
-    bool renewedOnce = false; /**< The leader has renewed this fencing number for this process. */
-    TimePoint leaderUntil = neverTime;
-    std::map<InstanceId, TimePoint> promisedUntil; /**< Promises of others to this owner. */
-    std::vector<GivenPromise> given;
+    bool renewedByLeader = false; /**< The leader has renewed this fencing number for this process. */
+    TimePoint leaderLeaseUntil = neverTime;
+    std::map<InstanceId, TimePoint> peerPromiseUntil; /**< Promises of others to this owner. */
+    std::vector<GivenPromise> givenPromises;
 };
 
 /** Pool leases of one instance, in every role. Owned by the control thread. */
@@ -43,7 +43,7 @@
     Duration poolLease = seconds(3);
     TimePoint startedAt{}; /**< Start of the process. Promises before a restart are unknown, so it accepts nothing for one lease. */
     std::vector<InstanceId> peers; /**< The other registered instances of the failure domain. */
-    std::map<PoolId, HeldPool> pools;
+    std::map<PoolId, PoolLeaseState> pools;
 };
 
 /** Takes over the assignments and registered instances of the control state that this instance applies. */
@@ -66,7 +66,7 @@
 void onPromise(PoolHolder &holder, const Promise &promise, TimePoint now);
 
 /** Starts the pools whose conditions are met. Returns the pools started now. Call it every 100 ms and after each event. */
-[[nodiscard]] std::vector<PoolFence> startPools(PoolHolder &holder, TimePoint now);
+[[nodiscard]] std::vector<PoolFence> activatePools(PoolHolder &holder, TimePoint now);
 
 /** Whether this instance is the owner of @p pool at @p now. Check it before each grant and order. */
 [[nodiscard]] bool ownsPool(const PoolHolder &holder, PoolId pool, TimePoint now) noexcept;
@@ -82,6 +82,6 @@
  *
  * An order of the old owner may be in flight for @p longestOrder after its lease has run out.
  */
-[[nodiscard]] TimePoint firstOrderAt(const PoolHolder &holder, PoolId pool, bool serverChecksFencing, Duration longestOrder) noexcept;
+[[nodiscard]] TimePoint firstOrderAt(const PoolHolder &holder, PoolId pool, bool serverChecksFencing, Duration maximumOrderLifetime) noexcept;
 
 } // namespace mimosahollow::membership
--- a/include/mimosahollow/membership/renewalstate.h
+++ b/include/mimosahollow/membership/renewalstate.h
@@ -40,7 +40,7 @@
 struct RenewalOutcome
 {
     std::vector<PoolRenewal> ownPools; /**< Renewed leases of this instance. */
-    TimePoint ownPoolsFrom = neverTime; /**< The leases run from here for the pool lease time. */
+    TimePoint ownPoolsLeaseStart = neverTime; /**< The leases run from here for the pool lease time. */
     std::vector<std::pair<InstanceId, RenewReply>> replies; /**< To direct followers. */
 };
 
--- a/include/mimosahollow/membership/view.h
+++ b/include/mimosahollow/membership/view.h
@@ -15,7 +15,7 @@
 struct ViewOptions
 {
     Duration heartbeatInterval = milliseconds(250);
-    std::uint32_t missedForSuspicion = 4;
+    std::uint32_t suspicionThreshold = 4;
     /** Relays of other failure domains get every fourth heartbeat, so that a relay stays below 15 KB/s with 22 domains. */
     std::uint32_t remoteIntervalFactor = 4;
     /** A suspected instance counts as alive again after this time of two-way contact; doubles with each further loss. */
@@ -24,25 +24,25 @@
     /** Known instances in one heartbeat a second to each receiver; a new instance is known to all within minutes. */
     std::size_t sampleSize = 1;
     /** An instance that nobody has heard of for this long is forgotten. */
-    Duration forgetTime = seconds(600);
+    Duration expirationTime = seconds(600);
     std::size_t maximumInstances = 4096;
     /** A better relay must have been alive for this long before the failure domain changes to it. */
-    Duration relaySettleTime = seconds(10);
+    Duration relayStabilizationTime = seconds(10);
 };
 
 /** What this instance knows about another one. */
 struct KnownInstance
 {
     InstanceRecord record;
-    TimePoint evidenceAt{}; /**< Newest direct evidence of any instance, as far as it is known here. */
-    TimePoint heardAt = neverTime; /**< Last heartbeat from it. */
-    TimePoint confirmedAt = neverTime; /**< Send time of the newest own heartbeat that it has confirmed. */
-    std::int64_t lastSentAt = 0; /**< sentAt of its newest heartbeat, for the echo. */
-    TimePoint twoWaySince = neverTime; /**< Start of the present two-way contact. */
+    TimePoint lastSeenAt{}; /**< Newest direct evidence of any instance, as far as it is known here. */
+    TimePoint lastHeartbeatAt = neverTime; /**< Last heartbeat from it. */
+    TimePoint lastAcknowledgedAt = neverTime; /**< Send time of the newest own heartbeat that it has confirmed. */
+    std::int64_t remoteSentAt = 0; /**< sentAt of its newest heartbeat, for the echo. */
+    TimePoint bidirectionalSince = neverTime; /**< Start of the present two-way contact. */
     TimePoint aliveSince = neverTime;
     bool alive = false;
     bool relay = false;
-    std::uint32_t losses = 0;
+    std::uint32_t failureCount = 0;
 };
 
 /** View of one instance on the fleet. Owned by the control thread. */
@@ -71,7 +71,7 @@
 };
 
 /** An instance is known from a Hello or a seed that answered. */
-void learn(View &view, const InstanceRecord &record, TimePoint now);
+void recordInstance(View &view, const InstanceRecord &record, TimePoint now);
 
 /** Handles a heartbeat of the link peer @p from. */
 void onHeartbeat(View &view, std::string_view from, const Heartbeat &heartbeat, TimePoint now);
--- a/src/coordination/coordination.cpp
+++ b/src/coordination/coordination.cpp
@@ -102,7 +102,7 @@
 void peerUp(CoordinationState &state, const membership::InstanceRecord &peer, TimePoint now, Actions &actions)
 {
     state.peersUp.insert(peer.name);
-    membership::learn(state.view, peer, now);
+    membership::recordInstance(state.view, peer, now);
     if (peer.name == state.upstream) {
         state.upstream.clear(); // subscribes again: the connection is a new one
     }
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -72,7 +72,7 @@
     VoterState &voter = *state.voter;
     const auto registered = registeredInstances(voter.control.configuration);
     const auto assignments = poolAssignments(voter.control.configuration);
-    voter.leader = membership::becomeLeader(term, state.options.times, voter.control.applied, registered, assignments, now);
+    voter.leader = membership::makeLeaderState(term, state.options.times, voter.control.applied, registered, assignments, now);
     voter.pendingAssignments.clear();
     state.view.leader = state.options.name;
     actions.push_back(Notice{"leads the replicated log in term " + std::to_string(term)});
@@ -103,7 +103,7 @@
     const TimePoint startedAt = found->second;
     voter.reads.erase(found);
     const auto assignments = poolAssignments(voter.control.configuration);
-    for (membership::AnsweredRenewal &answer : membership::answerRenewals(*voter.leader, assignments, startedAt, now)) {
+    for (membership::OutgoingRenewReply &answer : membership::answerRenewals(*voter.leader, assignments, startedAt, now)) {
         if (answer.to == state.options.name) {
             onRenewReply(state, answer.reply, now, actions);
         } else {
@@ -130,7 +130,7 @@
         voter.pendingAssignments.erase(bucketPool(buckets->domain));
     }
     if (voter.control.configuration.logIndex == index) {
-        membership::setRegistered(*voter.leader, registeredInstances(voter.control.configuration));
+        membership::setRegisteredInstances(*voter.leader, registeredInstances(voter.control.configuration));
     }
     const auto found = voter.proposals.find(index);
     if (found == voter.proposals.end()) {
@@ -166,7 +166,7 @@
         return;
     }
     membership::updateReachability(*voter.leader, now);
-    if (!voter.leader->pending.empty() && voter.reads.empty()) {
+    if (!voter.leader->pendingRenewals.empty() && voter.reads.empty()) {
         control::ConsensusActions consensusActions;
         const std::uint64_t read = control::requestRead(voter.consensus, consensusActions);
         voter.reads[read] = now;
--- a/src/coordination/leases.cpp
+++ b/src/coordination/leases.cpp
@@ -24,7 +24,7 @@
     }
 }
 
-void reportLease(CoordinationState &state, PoolId pool, const membership::HeldPool &held, TimePoint now, Actions &actions)
+void reportLease(CoordinationState &state, PoolId pool, const membership::PoolLeaseState &held, TimePoint now, Actions &actions)
 {
     const TimePoint until = membership::ownedUntil(state.holder, pool, now);
     if (until == membership::neverTime) {
@@ -93,7 +93,7 @@
     if (state.self == InstanceId{} || !state.configuration) {
         return;
     }
-    for (const membership::PoolFence &started : membership::startPools(state.holder, now)) {
+    for (const membership::PoolFence &started : membership::activatePools(state.holder, now)) {
         actions.push_back(Notice{"owns pool " + std::to_string(number(started.pool)) + " with fencing number " + std::to_string(started.fencing)});
     }
     if (const auto request = membership::promiseRequest(state.holder, now)) {
--- a/src/coordination/upstream.cpp
+++ b/src/coordination/upstream.cpp
@@ -240,7 +240,7 @@
     if (reply.remaining > Duration::zero()) {
         state.upstreamHeardAt = now;
     }
-    membership::onLeaderRenewal(state.holder, outcome.ownPools, outcome.ownPoolsFrom);
+    membership::onLeaderRenewal(state.holder, outcome.ownPools, outcome.ownPoolsLeaseStart);
     for (auto &[instance, downstreamReply] : outcome.replies) {
         for (const control::Instance &candidate : state.configuration->instances) {
             if (candidate.id == instance) {
--- a/src/membership/feed.cpp
+++ b/src/membership/feed.cpp
@@ -55,7 +55,7 @@
     return update;
 }
 
-void restart(FeedReader &reader)
+void resetSnapshot(FeedReader &reader)
 {
     reader.snapshotIndex = 0;
     reader.nextPart = 0;
@@ -68,12 +68,12 @@
         return NothingToApply{}; // state never goes back
     }
     if (update.part == 0) {
-        restart(reader);
+        resetSnapshot(reader);
         reader.snapshotIndex = update.lastIndex;
     }
     const bool fits = reader.assembled.size() + update.payload.size() <= maximumSnapshotBytes;
     if (update.lastIndex != reader.snapshotIndex || update.part != reader.nextPart || update.part >= update.parts || !fits) {
-        restart(reader);
+        resetSnapshot(reader);
         return Resubscribe{reader.applied == 0 ? 0 : reader.applied + 1};
     }
     reader.assembled.insert(reader.assembled.end(), update.payload.begin(), update.payload.end());
@@ -81,7 +81,7 @@
         return NothingToApply{};
     }
     ApplySnapshot apply{update.lastIndex, std::move(reader.assembled)};
-    restart(reader);
+    resetSnapshot(reader);
     reader.applied = apply.index;
     return apply;
 }
--- a/src/membership/leaderstate.cpp
+++ b/src/membership/leaderstate.cpp
@@ -9,7 +9,7 @@
 /** Requests that wait for one round of the majority. Relays ask twice a second, so that a few dozen are normal. */
 constexpr std::size_t maximumPendingRenewals = 1024;
 /** An instance that stays reachable for this long counts as never lost. */
-constexpr Duration lossMemory = seconds(3600);
+constexpr Duration failureResetTime = seconds(3600);
 
 bool isRegistered(const LeaderState &state, const ProcessId &process)
 {
@@ -20,22 +20,22 @@
 
 void advanceRequiredIndex(LeaderState &state, TimePoint now)
 {
-    while (!state.recent.empty() && now - state.recent.front().at >= state.times.applyGrace) {
-        state.requiredIndex = std::max(state.requiredIndex, state.recent.front().index);
-        state.recent.pop_front();
+    while (!state.notYetRequired.empty() && now - state.notYetRequired.front().at >= state.times.applyGracePeriod) {
+        state.requiredIndex = std::max(state.requiredIndex, state.notYetRequired.front().index);
+        state.notYetRequired.pop_front();
     }
 }
 
-void noteEcho(LeaderState &state, const FollowerEntry &entry, TimePoint now)
+void recordEcho(LeaderState &state, const FollowerEntry &entry, TimePoint now)
 {
     if (!isRegistered(state, {entry.instance, entry.incarnation})) {
         return; // bounds the table
     }
     Reachability &reachability = state.reachability[entry.instance];
     if (entry.echo.term == state.term && timeOf(entry.echo.time) >= state.since && timeOf(entry.echo.time) <= now) {
-        reachability.provenAt = std::max(reachability.provenAt, timeOf(entry.echo.time));
+        reachability.lastEchoAt = std::max(reachability.lastEchoAt, timeOf(entry.echo.time));
     }
-    if (!reachability.reachable && reachability.provenAt != neverTime && now - reachability.provenAt < state.times.poolLease) {
+    if (!reachability.reachable && reachability.lastEchoAt != neverTime && now - reachability.lastEchoAt < state.times.poolLease) {
         reachability.reachable = true;
         reachability.reachableSince = now;
     }
@@ -48,13 +48,13 @@
     if (entry.applied < state.requiredIndex || !isRegistered(state, process)) {
         return false;
     }
-    FreshnessEntry &freshness = state.freshness[process];
-    freshness.confirmed = std::max(freshness.confirmed, entry.applied);
-    freshness.mayServeUntil = std::max(freshness.mayServeUntil, receivedAt + outerLease(state.times.freshness));
+    FreshnessLease &freshness = state.freshness[process];
+    freshness.confirmedIndex = std::max(freshness.confirmedIndex, entry.applied);
+    freshness.mayServeUntil = std::max(freshness.mayServeUntil, receivedAt + granterLeaseDuration(state.times.freshness));
     return true;
 }
 
-const FollowerEntry *entryOf(const RenewRequest &request, InstanceId instance)
+const FollowerEntry *findEntry(const RenewRequest &request, InstanceId instance)
 {
     if (request.self.instance == instance) {
         return &request.self;
@@ -70,10 +70,10 @@
     const auto assignment = std::find_if(pools.begin(), pools.end(), [&renewal](const PoolAssignment &pool) {
         return pool.pool == renewal.pool;
     });
-    if (assignment == pools.end() || assignment->owner != renewal.owner || assignment->fencing != renewal.fencing || assignment->releasedBy != 0) {
+    if (assignment == pools.end() || assignment->owner != renewal.owner || assignment->fencing != renewal.fencing || assignment->releasedByIncarnation != 0) {
         return false;
     }
-    const FollowerEntry *owner = entryOf(pending.request, renewal.owner);
+    const FollowerEntry *owner = findEntry(pending.request, renewal.owner);
     // Without two-way contact the owner cannot use the renewal, and renewing would keep the pool from a working instance.
     if (owner == nullptr || !isReachable(state, renewal.owner) || !isRegistered(state, {owner->instance, owner->incarnation})) {
         return false;
@@ -82,27 +82,27 @@
     if (lease.fencing != assignment->fencing) {
         lease = {neverTime, assignment->index, assignment->fencing, 0, neverTime};
     }
-    if (owner->applied < std::max(lease.ownerKnows, assignment->index)) {
+    if (owner->applied < std::max(lease.ownerAppliedIndex, assignment->index)) {
         return false;
     }
-    lease.ownerKnows = owner->applied;
+    lease.ownerAppliedIndex = owner->applied;
     lease.incarnation = owner->incarnation;
-    lease.renewalDue = pending.receivedAt + renewalPatience(state.times);
-    lease.mayOwnUntil = std::max(lease.mayOwnUntil, pending.receivedAt + outerLease(state.times.poolLease));
+    lease.renewalDeadline = pending.receivedAt + renewalTimeout(state.times);
+    lease.mayOwnUntil = std::max(lease.mayOwnUntil, pending.receivedAt + granterLeaseDuration(state.times.poolLease));
     return true;
 }
 
-AnsweredRenewal answer(LeaderState &state, const PendingRenewal &pending, std::span<const PoolAssignment> pools, TimePoint now)
+OutgoingRenewReply answer(LeaderState &state, const PendingRenewal &pending, std::span<const PoolAssignment> pools, TimePoint now)
 {
     const RenewRequest &request = pending.request;
-    AnsweredRenewal answered{pending.from, {}};
-    RenewReply &reply = answered.reply;
+    OutgoingRenewReply outgoing{pending.from, {}};
+    RenewReply &reply = outgoing.reply;
     reply.sequence = request.sequence;
     reply.incarnation = request.self.incarnation;
     reply.stamp = {state.term, nanosecondsOf(now)};
-    noteEcho(state, request.self, now);
+    recordEcho(state, request.self, now);
     for (const FollowerEntry &entry : request.followers) {
-        noteEcho(state, entry, now);
+        recordEcho(state, entry, now);
     }
     if (renewFreshness(state, request.self, pending.receivedAt)) {
         reply.remaining = state.times.freshness;
@@ -117,22 +117,22 @@
             reply.pools.push_back(renewal);
         }
     }
-    return answered;
+    return outgoing;
 }
 
 } // namespace
 
-Duration renewalPatience(const LeaseTimes &times) noexcept
+Duration renewalTimeout(const LeaseTimes &times) noexcept
 {
     return times.poolLease * 2;
 }
 
-LeaderState becomeLeader(std::uint64_t term,
-                         const LeaseTimes &times,
-                         Version commitIndex,
-                         std::span<const RegisteredInstance> registered,
-                         std::span<const PoolAssignment> pools,
-                         TimePoint now)
+LeaderState makeLeaderState(std::uint64_t term,
+                            const LeaseTimes &times,
+                            Version commitIndex,
+                            std::span<const RegisteredInstance> registered,
+                            std::span<const PoolAssignment> pools,
+                            TimePoint now)
 {
     LeaderState state;
     state.term = term;
@@ -141,48 +141,48 @@
     state.requiredIndex = commitIndex;
     state.registered.assign(registered.begin(), registered.end());
     for (const RegisteredInstance &instance : registered) {
-        state.freshness[{instance.id, instance.incarnation}] = {0, now + outerLease(times.freshness)};
+        state.freshness[{instance.id, instance.incarnation}] = {0, now + granterLeaseDuration(times.freshness)};
         state.reachability[instance.id] = {now, now, 0, true};
     }
     for (const PoolAssignment &pool : pools) {
-        state.pools[pool.pool] = {now + outerLease(times.poolLease), pool.index, pool.fencing, 0, now + renewalPatience(times)};
+        state.pools[pool.pool] = {now + granterLeaseDuration(times.poolLease), pool.index, pool.fencing, 0, now + renewalTimeout(times)};
     }
     return state;
 }
 
-void setRegistered(LeaderState &state, std::span<const RegisteredInstance> registered)
+void setRegisteredInstances(LeaderState &state, std::span<const RegisteredInstance> registered)
 {
     state.registered.assign(registered.begin(), registered.end());
 }
 
 void onCommitted(LeaderState &state, Version index, TimePoint now)
 {
-    state.recent.push_back({index, now});
+    state.notYetRequired.push_back({index, now});
     advanceRequiredIndex(state, now);
 }
 
 bool onRenewRequest(LeaderState &state, std::string from, RenewRequest request, TimePoint now)
 {
-    if (state.pending.size() >= maximumPendingRenewals) {
+    if (state.pendingRenewals.size() >= maximumPendingRenewals) {
         return false;
     }
-    state.pending.push_back({std::move(request), std::move(from), now});
+    state.pendingRenewals.push_back({std::move(request), std::move(from), now});
     return true;
 }
 
-std::vector<AnsweredRenewal> answerRenewals(LeaderState &state, std::span<const PoolAssignment> pools, TimePoint roundStartedAt, TimePoint now)
+std::vector<OutgoingRenewReply> answerRenewals(LeaderState &state, std::span<const PoolAssignment> pools, TimePoint roundStartedAt, TimePoint now)
 {
     advanceRequiredIndex(state, now);
-    std::vector<AnsweredRenewal> answers;
+    std::vector<OutgoingRenewReply> answers;
     std::vector<PendingRenewal> later;
-    for (PendingRenewal &pending : state.pending) {
+    for (PendingRenewal &pending : state.pendingRenewals) {
         if (pending.receivedAt <= roundStartedAt) {
             answers.push_back(answer(state, pending, pools, now));
         } else {
             later.push_back(std::move(pending));
         }
     }
-    state.pending = std::move(later);
+    state.pendingRenewals = std::move(later);
     return answers;
 }
 
@@ -193,7 +193,7 @@
         if (found == state.freshness.end()) {
             continue;
         }
-        found->second.confirmed = std::max(found->second.confirmed, entry.applied);
+        found->second.confirmedIndex = std::max(found->second.confirmedIndex, entry.applied);
         if (confirm.leaving) {
             state.freshness.erase(found);
         }
@@ -216,7 +216,7 @@
 {
     TimePoint at = now;
     for (const auto &[process, freshness] : state.freshness) {
-        if (freshness.confirmed < index) {
+        if (freshness.confirmedIndex < index) {
             at = std::max(at, freshness.mayServeUntil);
         }
     }
@@ -229,11 +229,11 @@
         if (!reachability.reachable) {
             continue;
         }
-        if (now - reachability.provenAt >= state.times.poolLease) {
+        if (now - reachability.lastEchoAt >= state.times.poolLease) {
             reachability.reachable = false;
-            ++reachability.losses;
-        } else if (now - reachability.reachableSince >= lossMemory) {
-            reachability.losses = 0;
+            ++reachability.failureCount;
+        } else if (now - reachability.reachableSince >= failureResetTime) {
+            reachability.failureCount = 0;
         }
     }
 }
--- a/src/membership/contact.cpp
+++ b/src/membership/liveness.cpp
@@ -1,4 +1,4 @@
-#include "contact.h"
+#include "liveness.h"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 namespace {
 
 /** An instance that stays alive for this many of the longest recovery times counts as never lost. */
-constexpr int lossMemoryFactor = 10;
+constexpr int failureResetFactor = 10;
 /** Keeps the shift of the recovery time in range; the maximum recovery time is reached earlier. */
 constexpr std::uint32_t maximumDoublings = 16;
 
@@ -16,21 +16,21 @@
     return time != neverTime && now - time < window;
 }
 
-bool hasTwoWayContact(const View &view, const KnownInstance &known, TimePoint now)
+bool hasBidirectionalContact(const View &view, const KnownInstance &known, TimePoint now)
 {
     const bool remote = known.record.failureDomain != view.self.failureDomain;
     const Duration interval = view.options.heartbeatInterval * (remote ? view.options.remoteIntervalFactor : 1);
-    const Duration window = interval * view.options.missedForSuspicion;
+    const Duration window = interval * view.options.suspicionThreshold;
     // The echo is up to one interval older than the heartbeat that carries it.
-    return isRecent(known.heardAt, window, now) && isRecent(known.confirmedAt, window + interval, now);
+    return isRecent(known.lastHeartbeatAt, window, now) && isRecent(known.lastAcknowledgedAt, window + interval, now);
 }
 
-Duration recoveryTime(const ViewOptions &options, std::uint32_t losses)
+Duration recoveryTime(const ViewOptions &options, std::uint32_t failureCount)
 {
-    if (losses == 0) {
+    if (failureCount == 0) {
         return Duration::zero();
     }
-    return std::min(options.recoveryTime * (1U << std::min(losses - 1, maximumDoublings)), options.maximumRecoveryTime);
+    return std::min(options.recoveryTime * (1U << std::min(failureCount - 1, maximumDoublings)), options.maximumRecoveryTime);
 }
 
 /** Instances of different failure domains exchange heartbeats only while both are relays. */
@@ -41,37 +41,37 @@
 
 } // namespace
 
-ContactChange updateContact(const View &view, KnownInstance &known, TimePoint now)
+LivenessChange updateLiveness(const View &view, KnownInstance &known, TimePoint now)
 {
     if (!exchangesHeartbeats(view, known)) {
         known.alive = false; // the end of a role is no loss
-        known.twoWaySince = neverTime;
-        return ContactChange::None;
+        known.bidirectionalSince = neverTime;
+        return LivenessChange::None;
     }
-    if (!hasTwoWayContact(view, known, now)) {
-        known.twoWaySince = neverTime;
+    if (!hasBidirectionalContact(view, known, now)) {
+        known.bidirectionalSince = neverTime;
         if (!known.alive) {
-            return ContactChange::None;
+            return LivenessChange::None;
         }
         known.alive = false;
-        ++known.losses;
-        return ContactChange::BecameSuspect;
+        ++known.failureCount;
+        return LivenessChange::BecameSuspect;
     }
-    if (known.twoWaySince == neverTime) {
-        known.twoWaySince = now;
+    if (known.bidirectionalSince == neverTime) {
+        known.bidirectionalSince = now;
     }
     if (known.alive) {
-        if (now - known.aliveSince >= view.options.maximumRecoveryTime * lossMemoryFactor) {
-            known.losses = 0;
+        if (now - known.aliveSince >= view.options.maximumRecoveryTime * failureResetFactor) {
+            known.failureCount = 0;
         }
-        return ContactChange::None;
+        return LivenessChange::None;
     }
-    if (now - known.twoWaySince < recoveryTime(view.options, known.losses)) {
-        return ContactChange::None;
+    if (now - known.bidirectionalSince < recoveryTime(view.options, known.failureCount)) {
+        return LivenessChange::None;
     }
     known.alive = true;
     known.aliveSince = now;
-    return ContactChange::BecameAlive;
+    return LivenessChange::BecameAlive;
 }
 
 } // namespace mimosahollow::membership
--- a/src/membership/contact.h
+++ b/src/membership/liveness.h
@@ -4,13 +4,13 @@
 
 namespace mimosahollow::membership {
 
-enum class ContactChange : std::uint8_t {
+enum class LivenessChange : std::uint8_t {
     None,
     BecameAlive,
     BecameSuspect,
 };
 
 /** Judges the two-way contact with @p known from the evidence of both directions. */
-[[nodiscard]] ContactChange updateContact(const View &view, KnownInstance &known, TimePoint now);
+[[nodiscard]] LivenessChange updateLiveness(const View &view, KnownInstance &known, TimePoint now);
 
 } // namespace mimosahollow::membership
--- a/src/membership/poolholder.cpp
+++ b/src/membership/poolholder.cpp
@@ -8,32 +8,32 @@
 namespace {
 
 /** Promises are asked for when a third of the pool lease has passed without a renewal; two renewals are missing then. */
-constexpr int quietPart = 3;
+constexpr int renewalGapDivisor = 3;
 /** A failure domain has one pool for each base model, plain service and bucket; this bounds what peers can make an instance keep. */
-constexpr std::size_t maximumHeldPools = 1024;
+constexpr std::size_t maximumTrackedPools = 1024;
 
-bool hasGivenPromise(const HeldPool &pool, TimePoint now) noexcept
+bool hasGivenPromise(const PoolLeaseState &pool, TimePoint now) noexcept
 {
-    return std::any_of(pool.given.begin(), pool.given.end(), [now](const GivenPromise &promise) {
+    return std::any_of(pool.givenPromises.begin(), pool.givenPromises.end(), [now](const GivenPromise &promise) {
         return now < promise.until;
     });
 }
 
 /** End of the lease by promises: the promise that runs out first. */
-TimePoint promisedUntil(const PoolHolder &holder, const HeldPool &pool) noexcept
+TimePoint promiseLeaseUntil(const PoolHolder &holder, const PoolLeaseState &pool) noexcept
 {
     TimePoint until = TimePoint::max();
     for (const InstanceId peer : holder.peers) {
-        const auto found = pool.promisedUntil.find(peer);
-        until = std::min(until, found == pool.promisedUntil.end() ? neverTime : found->second);
+        const auto found = pool.peerPromiseUntil.find(peer);
+        until = std::min(until, found == pool.peerPromiseUntil.end() ? neverTime : found->second);
     }
     return until;
 }
 
 /** The promises count only after this process had one renewal: the leader then knows how new its set of peers is. */
-TimePoint leaseUntil(const PoolHolder &holder, const HeldPool &pool) noexcept
+TimePoint leaseUntil(const PoolHolder &holder, const PoolLeaseState &pool) noexcept
 {
-    return pool.renewedOnce ? std::max(pool.leaderUntil, promisedUntil(holder, pool)) : neverTime;
+    return pool.renewedByLeader ? std::max(pool.leaderLeaseUntil, promiseLeaseUntil(holder, pool)) : neverTime;
 }
 
 /**
@@ -42,41 +42,41 @@
  * A promise to the owner of a newer fencing number does not matter: the leader renews this number no more. Under number 1
  * there was no earlier owner.
  */
-bool mayHaveForgottenPromise(const PoolHolder &holder, const HeldPool &pool, TimePoint now) noexcept
+bool mayHaveForgottenPromise(const PoolHolder &holder, const PoolLeaseState &pool, TimePoint now) noexcept
 {
-    return pool.fencing > 1 && now < holder.startedAt + outerLease(holder.poolLease);
+    return pool.fencing > 1 && now < holder.startedAt + granterLeaseDuration(holder.poolLease);
 }
 
-bool mayOwn(const PoolHolder &holder, const HeldPool &pool, TimePoint now) noexcept
+bool mayOwn(const PoolHolder &holder, const PoolLeaseState &pool, TimePoint now) noexcept
 {
     return pool.owner == holder.self && !pool.released && now < leaseUntil(holder, pool) && !hasGivenPromise(pool, now);
 }
 
-HeldPool *find(PoolHolder &holder, const PoolFence &fence)
+PoolLeaseState *find(PoolHolder &holder, const PoolFence &fence)
 {
     const auto found = holder.pools.find(fence.pool);
     return found == holder.pools.end() || found->second.fencing != fence.fencing ? nullptr : &found->second;
 }
 
-const HeldPool *find(const PoolHolder &holder, PoolId pool) noexcept
+const PoolLeaseState *find(const PoolHolder &holder, PoolId pool) noexcept
 {
     const auto found = holder.pools.find(pool);
     return found == holder.pools.end() ? nullptr : &found->second;
 }
 
-void learnAssignment(PoolHolder &holder, const PoolAssignment &assignment, TimePoint now)
+void applyAssignment(PoolHolder &holder, const PoolAssignment &assignment, TimePoint now)
 {
-    HeldPool &pool = holder.pools[assignment.pool];
+    PoolLeaseState &pool = holder.pools[assignment.pool];
     if (assignment.fencing > pool.fencing) {
-        HeldPool next;
+        PoolLeaseState next;
         next.owner = assignment.owner;
         next.fencing = assignment.fencing;
-        next.learntAt = now;
+        next.learnedAt = now;
         next.releasedFencing = pool.releasedFencing;
-        next.given = std::move(pool.given);
+        next.givenPromises = std::move(pool.givenPromises);
         pool = std::move(next);
     }
-    if (assignment.fencing == pool.fencing && assignment.releasedBy != 0) {
+    if (assignment.fencing == pool.fencing && assignment.releasedByIncarnation != 0) {
         pool.released = true;
     }
 }
@@ -88,9 +88,9 @@
         return;
     }
     for (const PoolFence &fence : promise.pools) {
-        if (HeldPool *pool = find(holder, fence)) {
+        if (PoolLeaseState *pool = find(holder, fence)) {
             // Counted from the own send time: the promise itself starts later and so ends later.
-            TimePoint &until = pool->promisedUntil.try_emplace(promise.from, neverTime).first->second;
+            TimePoint &until = pool->peerPromiseUntil.try_emplace(promise.from, neverTime).first->second;
             until = std::max(until, sentAt + holder.poolLease);
         }
     }
@@ -113,8 +113,8 @@
         if (found == holder.pools.end()) {
             continue;
         }
-        HeldPool &pool = found->second;
-        std::erase_if(pool.given, [&](const GivenPromise &given) {
+        PoolLeaseState &pool = found->second;
+        std::erase_if(pool.givenPromises, [&](const GivenPromise &given) {
             return given.owner == promise.from && given.ownerIncarnation == promise.ownerIncarnation && given.fencing == fence.fencing;
         });
         pool.releasedFencing = std::max(pool.releasedFencing, fence.fencing);
@@ -123,15 +123,15 @@
 
 bool hasRoomFor(const PoolHolder &holder, PoolId pool)
 {
-    return holder.pools.contains(pool) || holder.pools.size() < maximumHeldPools;
+    return holder.pools.contains(pool) || holder.pools.size() < maximumTrackedPools;
 }
 
-void givePromise(HeldPool &pool, const Promise &request, const PoolFence &fence, TimePoint until, TimePoint now)
+void givePromise(PoolLeaseState &pool, const Promise &request, const PoolFence &fence, TimePoint until, TimePoint now)
 {
-    std::erase_if(pool.given, [&](const GivenPromise &given) {
+    std::erase_if(pool.givenPromises, [&](const GivenPromise &given) {
         return now >= given.until || (given.owner == request.from && given.ownerIncarnation == request.ownerIncarnation && given.fencing == fence.fencing);
     });
-    pool.given.push_back({request.from, request.ownerIncarnation, fence.fencing, until});
+    pool.givenPromises.push_back({request.from, request.ownerIncarnation, fence.fencing, until});
 }
 
 } // namespace
@@ -148,7 +148,7 @@
     }
     for (const PoolAssignment &assignment : pools) {
         if (assignment.domain == domain) {
-            learnAssignment(holder, assignment, now);
+            applyAssignment(holder, assignment, now);
         }
     }
     for (auto &[id, pool] : holder.pools) {
@@ -164,10 +164,10 @@
 void onLeaderRenewal(PoolHolder &holder, std::span<const PoolRenewal> pools, TimePoint from)
 {
     for (const PoolRenewal &renewal : pools) {
-        HeldPool *pool = find(holder, {renewal.pool, renewal.fencing});
+        PoolLeaseState *pool = find(holder, {renewal.pool, renewal.fencing});
         if (pool != nullptr && pool->owner == holder.self && renewal.owner == holder.self) {
-            pool->renewedOnce = true;
-            pool->leaderUntil = std::max(pool->leaderUntil, from + holder.poolLease);
+            pool->renewedByLeader = true;
+            pool->leaderLeaseUntil = std::max(pool->leaderLeaseUntil, from + holder.poolLease);
         }
     }
 }
@@ -190,8 +190,8 @@
     }
     Promise request{PromiseKind::Request, holder.self, holder.self, holder.incarnation, nanosecondsOf(now), {}};
     for (const auto &[id, pool] : holder.pools) {
-        const bool quiet = pool.renewedOnce && now >= pool.leaderUntil - holder.poolLease + holder.poolLease / quietPart;
-        if (pool.owner == holder.self && pool.accepted && !pool.released && quiet) {
+        const bool renewalOverdue = pool.renewedByLeader && now >= pool.leaderLeaseUntil - holder.poolLease + holder.poolLease / renewalGapDivisor;
+        if (pool.owner == holder.self && pool.activated && !pool.released && renewalOverdue) {
             request.pools.push_back({id, pool.fencing});
         }
     }
@@ -203,12 +203,12 @@
     Promise given{PromiseKind::Given, holder.self, request.from, request.ownerIncarnation, request.ownerTime, {}};
     Promise refused = given;
     refused.kind = PromiseKind::Refused;
-    const TimePoint until = now + outerLease(holder.poolLease);
+    const TimePoint until = now + granterLeaseDuration(holder.poolLease);
     for (const PoolFence &fence : request.pools) {
         if (!hasRoomFor(holder, fence.pool)) {
             continue;
         }
-        HeldPool &pool = holder.pools[fence.pool];
+        PoolLeaseState &pool = holder.pools[fence.pool];
         const bool own = pool.owner == holder.self && pool.fencing == fence.fencing;
         if (pool.fencing > fence.fencing || own) {
             refused.pools.push_back({fence.pool, pool.fencing});
@@ -243,23 +243,23 @@
     }
 }
 
-std::vector<PoolFence> startPools(PoolHolder &holder, TimePoint now)
+std::vector<PoolFence> activatePools(PoolHolder &holder, TimePoint now)
 {
-    std::vector<PoolFence> started;
+    std::vector<PoolFence> newlyActive;
     for (auto &[id, pool] : holder.pools) {
-        if (!pool.accepted && !mayHaveForgottenPromise(holder, pool, now) && mayOwn(holder, pool, now)) {
-            pool.accepted = true;
-            pool.acceptedAt = now;
-            started.push_back({id, pool.fencing});
+        if (!pool.activated && !mayHaveForgottenPromise(holder, pool, now) && mayOwn(holder, pool, now)) {
+            pool.activated = true;
+            pool.activatedAt = now;
+            newlyActive.push_back({id, pool.fencing});
         }
     }
-    return started;
+    return newlyActive;
 }
 
 bool ownsPool(const PoolHolder &holder, PoolId pool, TimePoint now) noexcept
 {
-    const HeldPool *held = find(holder, pool);
-    return held != nullptr && held->accepted && mayOwn(holder, *held, now);
+    const PoolLeaseState *held = find(holder, pool);
+    return held != nullptr && held->activated && mayOwn(holder, *held, now);
 }
 
 TimePoint ownedUntil(const PoolHolder &holder, PoolId pool, TimePoint now) noexcept
@@ -277,15 +277,15 @@
     return Promise{PromiseKind::Released, holder.self, holder.self, holder.incarnation, 0, {{pool, found->second.fencing}}};
 }
 
-TimePoint firstOrderAt(const PoolHolder &holder, PoolId pool, bool serverChecksFencing, Duration longestOrder) noexcept
+TimePoint firstOrderAt(const PoolHolder &holder, PoolId pool, bool serverChecksFencing, Duration maximumOrderLifetime) noexcept
 {
-    const HeldPool *held = find(holder, pool);
-    if (held == nullptr || !held->accepted) {
+    const PoolLeaseState *held = find(holder, pool);
+    if (held == nullptr || !held->activated) {
         return TimePoint::max();
     }
     // Fencing numbers of a pool grow by one, so a release under the number before this one comes from the previous owner.
     const bool noOldOrders = held->fencing == 1 || held->releasedFencing + 1 == held->fencing;
-    return serverChecksFencing || noOldOrders ? held->acceptedAt : held->acceptedAt + longestOrder;
+    return serverChecksFencing || noOldOrders ? held->activatedAt : held->activatedAt + maximumOrderLifetime;
 }
 
 } // namespace mimosahollow::membership
--- a/src/membership/relay.cpp
+++ b/src/membership/relay.cpp
@@ -22,7 +22,7 @@
         }
     }
     const bool currentWorks = current != nullptr || view.relay == view.self.name;
-    const bool waitForBest = best != nullptr && !best->relay && now - best->aliveSince < view.options.relaySettleTime;
+    const bool waitForBest = best != nullptr && !best->relay && now - best->aliveSince < view.options.relayStabilizationTime;
     if (currentWorks && waitForBest) {
         return view.relay;
     }
--- a/src/membership/renewal.cpp
+++ b/src/membership/renewal.cpp
@@ -9,7 +9,7 @@
 /** Replies later than this many requests are useless, because the leases they renew have been renewed since. */
 constexpr std::size_t maximumSentRenewals = 32;
 /** Bounds the request of a relay: more followers than a fleet of the expected size has instances. */
-constexpr std::size_t maximumDownstream = 1024;
+constexpr std::size_t maximumDownstreamRequests = 1024;
 constexpr Duration shortestRenewalInterval = milliseconds(100);
 /** A lost instance is noticed by its missing renewals; the session time is 3 s. */
 constexpr Duration longestRenewalInterval = seconds(1);
@@ -27,7 +27,7 @@
     return std::find(processes.begin(), processes.end(), process) != processes.end();
 }
 
-bool comesThrough(const RenewRequest &request, InstanceId instance)
+bool includesInstance(const RenewRequest &request, InstanceId instance)
 {
     return request.self.instance == instance || std::any_of(request.followers.begin(), request.followers.end(), [instance](const FollowerEntry &entry) {
                return entry.instance == instance;
@@ -50,7 +50,7 @@
         }
     }
     for (const PoolRenewal &pool : upstream.pools) {
-        if (comesThrough(request, pool.owner)) {
+        if (includesInstance(request, pool.owner)) {
             reply.pools.push_back(pool);
         }
     }
@@ -61,10 +61,10 @@
  * Adds the followers and pools of an earlier request of the same instance. Without this, a relay that sends more often than its
  * upstream instance would lose the requests of followers that send less often.
  */
-void keepFollowers(RenewRequest &request, const RenewRequest &earlier)
+void mergeEarlierRequest(RenewRequest &request, const RenewRequest &earlier)
 {
     for (const FollowerEntry &entry : earlier.followers) {
-        if (!comesThrough(request, entry.instance)) {
+        if (!includesInstance(request, entry.instance)) {
             request.followers.push_back(entry);
         }
     }
@@ -93,11 +93,11 @@
     request.self = {state.self, state.incarnation, state.applied, state.echo};
     request.pools.assign(ownPools.begin(), ownPools.end());
     SentRenewal sent{request.sequence, now, {}};
-    for (auto &[instance, theirs] : state.downstream) {
-        request.followers.push_back(theirs.self);
-        request.followers.insert(request.followers.end(), theirs.followers.begin(), theirs.followers.end());
-        request.pools.insert(request.pools.end(), theirs.pools.begin(), theirs.pools.end());
-        sent.downstream.push_back(std::move(theirs));
+    for (auto &[instance, downstreamRequest] : state.downstream) {
+        request.followers.push_back(downstreamRequest.self);
+        request.followers.insert(request.followers.end(), downstreamRequest.followers.begin(), downstreamRequest.followers.end());
+        request.pools.insert(request.pools.end(), downstreamRequest.pools.begin(), downstreamRequest.pools.end());
+        sent.downstream.push_back(std::move(downstreamRequest));
     }
     state.downstream.clear();
     state.sent.push_back(std::move(sent));
@@ -114,7 +114,7 @@
     }
     const auto found = state.downstream.find(request.self.instance);
     if (found == state.downstream.end()) {
-        if (state.downstream.size() < maximumDownstream) {
+        if (state.downstream.size() < maximumDownstreamRequests) {
             state.downstream.emplace(request.self.instance, std::move(request));
         }
         return;
@@ -123,7 +123,7 @@
     const bool older =
         request.self.incarnation < known.self.incarnation || (request.self.incarnation == known.self.incarnation && request.sequence <= known.sequence);
     if (!older) {
-        keepFollowers(request, known);
+        mergeEarlierRequest(request, known);
         found->second = std::move(request);
     }
 }
@@ -144,7 +144,7 @@
         until = sent->sentAt + reply.remaining;
         state.freshUntil = std::max(state.freshUntil, until);
     }
-    outcome.ownPoolsFrom = sent->sentAt;
+    outcome.ownPoolsLeaseStart = sent->sentAt;
     for (const PoolRenewal &pool : reply.pools) {
         if (pool.owner == state.self) {
             outcome.ownPools.push_back(pool);
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -1,6 +1,6 @@
 #include "mimosahollow/membership/view.h"
 
-#include "contact.h"
+#include "liveness.h"
 
 #include <algorithm>
 
@@ -17,14 +17,14 @@
 void startNewIncarnation(KnownInstance &known, const InstanceRecord &record)
 {
     known.record = record;
-    known.heardAt = neverTime;
-    known.confirmedAt = neverTime;
-    known.lastSentAt = 0;
+    known.lastHeartbeatAt = neverTime;
+    known.lastAcknowledgedAt = neverTime;
+    known.remoteSentAt = 0;
     known.relay = false;
 }
 
 /** Returns nothing for this instance itself, an older incarnation, or when the table is full. */
-KnownInstance *merge(View &view, const InstanceRecord &record, TimePoint evidenceAt)
+KnownInstance *merge(View &view, const InstanceRecord &record, TimePoint lastSeenAt)
 {
     if (record.name == view.self.name) {
         return nullptr;
@@ -36,25 +36,25 @@
         }
         found = view.known.emplace(record.name, KnownInstance{}).first;
         found->second.record = record;
-        found->second.evidenceAt = evidenceAt;
+        found->second.lastSeenAt = lastSeenAt;
     } else if (record.incarnation > found->second.record.incarnation) {
         startNewIncarnation(found->second, record);
     } else if (record.incarnation < found->second.record.incarnation) {
         return nullptr;
     }
-    found->second.evidenceAt = std::max(found->second.evidenceAt, evidenceAt);
+    found->second.lastSeenAt = std::max(found->second.lastSeenAt, lastSeenAt);
     return &found->second;
 }
 
 void mergeSample(View &view, const SampledInstance &sample, TimePoint now)
 {
-    const TimePoint evidenceAt = now - milliseconds(sample.ageMilliseconds);
-    if (now - evidenceAt >= view.options.forgetTime) {
+    const TimePoint lastSeenAt = now - milliseconds(sample.ageMilliseconds);
+    if (now - lastSeenAt >= view.options.expirationTime) {
         return;
     }
     const auto before = view.known.find(sample.instance.name);
-    const bool newer = before == view.known.end() || before->second.evidenceAt < evidenceAt;
-    KnownInstance *known = merge(view, sample.instance, evidenceAt);
+    const bool newer = before == view.known.end() || before->second.lastSeenAt < lastSeenAt;
+    KnownInstance *known = merge(view, sample.instance, lastSeenAt);
     if (known != nullptr && newer) {
         known->relay = sample.relay;
     }
@@ -70,8 +70,8 @@
     auto next = std::next(view.known.begin(), static_cast<std::ptrdiff_t>(random() % view.known.size()));
     for (std::size_t i = 0; i < std::min(view.options.sampleSize, view.known.size()); ++i) {
         const KnownInstance &known = next->second;
-        if (now - known.evidenceAt < view.options.forgetTime) {
-            sample.push_back({known.record, static_cast<std::uint32_t>(millisecondsOf(now - known.evidenceAt)), known.relay});
+        if (now - known.lastSeenAt < view.options.expirationTime) {
+            sample.push_back({known.record, static_cast<std::uint32_t>(millisecondsOf(now - known.lastSeenAt)), known.relay});
         }
         if (++next == view.known.end()) {
             next = view.known.begin();
@@ -86,7 +86,7 @@
     heartbeat.incarnation = view.self.incarnation;
     heartbeat.sentAt = nanosecondsOf(now);
     heartbeat.echoIncarnation = known.record.incarnation;
-    heartbeat.echoSentAt = known.lastSentAt;
+    heartbeat.echoSentAt = known.remoteSentAt;
     heartbeat.relay = view.relay == view.self.name;
     return heartbeat;
 }
@@ -129,25 +129,25 @@
     }
     const bool isRelay = view.relay == view.self.name;
     // One last heartbeat says that this instance is no relay any more, so that its silence is not taken for a loss.
-    const bool ends = wasRelay && !isRelay;
-    if (ends || (isRelay && view.tick % view.options.remoteIntervalFactor == 0)) {
+    const bool stepsDown = wasRelay && !isRelay;
+    if (stepsDown || (isRelay && view.tick % view.options.remoteIntervalFactor == 0)) {
         const auto remote = remoteRelays(view);
         chosen.insert(chosen.end(), remote.begin(), remote.end());
     }
     return chosen;
 }
 
-void updateContacts(View &view, TimePoint now, ViewActions &actions)
+void updateAllLiveness(View &view, TimePoint now, ViewActions &actions)
 {
     for (auto &[name, known] : view.known) {
-        switch (updateContact(view, known, now)) {
-        case ContactChange::BecameAlive:
+        switch (updateLiveness(view, known, now)) {
+        case LivenessChange::BecameAlive:
             actions.becameAlive.push_back(name);
             break;
-        case ContactChange::BecameSuspect:
+        case LivenessChange::BecameSuspect:
             actions.becameSuspect.push_back(name);
             break;
-        case ContactChange::None:
+        case LivenessChange::None:
             break;
         }
     }
@@ -155,7 +155,7 @@
 
 } // namespace
 
-void learn(View &view, const InstanceRecord &record, TimePoint now)
+void recordInstance(View &view, const InstanceRecord &record, TimePoint now)
 {
     merge(view, record, now);
 }
@@ -167,15 +167,15 @@
         return; // the Hello of a new process comes first on its connection
     }
     KnownInstance &known = found->second;
-    known.evidenceAt = now;
-    known.heardAt = now;
-    known.lastSentAt = std::max(known.lastSentAt, heartbeat.sentAt);
+    known.lastSeenAt = now;
+    known.lastHeartbeatAt = now;
+    known.remoteSentAt = std::max(known.remoteSentAt, heartbeat.sentAt);
     known.relay = heartbeat.relay;
     if (heartbeat.echoIncarnation == view.self.incarnation && heartbeat.echoSentAt != 0) {
         // An echo from the future or the distant past is malformed; arithmetic with it could overflow.
         const TimePoint echo = timeOf(heartbeat.echoSentAt);
-        if (echo <= now && echo > now - view.options.forgetTime) {
-            known.confirmedAt = std::max(known.confirmedAt, echo);
+        if (echo <= now && echo > now - view.options.expirationTime) {
+            known.lastAcknowledgedAt = std::max(known.lastAcknowledgedAt, echo);
         }
     }
     if (!heartbeat.leader.empty()) {
@@ -190,9 +190,9 @@
 {
     ViewActions actions;
     std::erase_if(view.known, [&](const auto &item) {
-        return !item.second.alive && now - item.second.evidenceAt >= view.options.forgetTime;
+        return !item.second.alive && now - item.second.lastSeenAt >= view.options.expirationTime;
     });
-    updateContacts(view, now, actions);
+    updateAllLiveness(view, now, actions);
     std::string relay = chooseRelay(view, now);
     const bool wasRelay = view.relay == view.self.name;
     if (relay != view.relay) {
--- a/tests/membership/feed.cpp
+++ b/tests/membership/feed.cpp
@@ -41,13 +41,13 @@
 };
 
 /** Sends all pending updates but those with a number that @p lose accepts. Returns the number of updates. */
-template<typename Lose>
-std::size_t pump(Feed &feed, Follower &follower, Lose lose)
+template<typename IsLost>
+std::size_t deliverUpdates(Feed &feed, Follower &follower, IsLost isLost)
 {
     std::size_t count = 0;
     while (const auto update = nextUpdate(feed, "f", "leader")) {
         markSent(feed, "f", *update);
-        if (lose(count++)) {
+        if (isLost(count++)) {
             continue;
         }
         if (const auto next = follower.receive(*update)) {
@@ -57,7 +57,7 @@
     return count;
 }
 
-constexpr auto loseNone = [](std::size_t) {
+constexpr auto noLoss = [](std::size_t) {
     return false;
 };
 
@@ -80,18 +80,18 @@
         REQUIRE_FALSE(nextUpdate(feed, "f", "").has_value());
         setSnapshot(feed, 60, std::vector<std::uint8_t>(60, 1));
         REQUIRE_FALSE(needsSnapshot(feed));
-        pump(feed, follower, loseNone);
+        deliverUpdates(feed, follower, noLoss);
         REQUIRE(follower.reader.applied == 100);
         REQUIRE(follower.sum == 100);
 
         SECTION("a lost update is noticed at the next one and requested again")
         {
             REQUIRE(append(feed, {101, {1}}));
-            pump(feed, follower, [](std::size_t) {
+            deliverUpdates(feed, follower, [](std::size_t) {
                 return true;
             });
             REQUIRE(append(feed, {102, {1}}));
-            pump(feed, follower, loseNone);
+            deliverUpdates(feed, follower, noLoss);
             REQUIRE(follower.reader.applied == 102);
             REQUIRE(follower.sum == 102);
         }
@@ -113,7 +113,7 @@
     SECTION("a snapshot larger than a frame comes in parts, and a lost part restarts it")
     {
         setSnapshot(feed, 100, std::vector<std::uint8_t>(maximumUpdateBytes * 2 + 5, 2));
-        const std::size_t updates = pump(feed, follower, [](std::size_t number) {
+        const std::size_t updates = deliverUpdates(feed, follower, [](std::size_t number) {
             return number == 1;
         });
         REQUIRE(updates == 6);
@@ -124,11 +124,11 @@
     SECTION("a follower too far behind, or behind an increment larger than a frame, gets a snapshot")
     {
         setSnapshot(feed, 100, std::vector<std::uint8_t>(100, 1));
-        pump(feed, follower, loseNone);
+        deliverUpdates(feed, follower, noLoss);
         REQUIRE(append(feed, {101, std::vector<std::uint8_t>(maximumIncrementBytes + 1, 0)}));
         REQUIRE(needsSnapshot(feed));
         setSnapshot(feed, 101, std::vector<std::uint8_t>(100, 3));
-        pump(feed, follower, loseNone);
+        deliverUpdates(feed, follower, noLoss);
         REQUIRE(follower.snapshots == 2);
         REQUIRE(follower.sum == 300);
     }
--- a/tests/membership/world.cpp
+++ b/tests/membership/leasesimulation.cpp
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "leasesimulation.h"
 
 #include <algorithm>
 
@@ -15,12 +15,12 @@
 
 } // namespace
 
-World::World(std::uint64_t seed, std::size_t instances, Mistake mistake) : random(seed), nodes(instances + 1), m_mistake(mistake)
+LeaseSimulation::LeaseSimulation(std::uint64_t seed, std::size_t instances, Mutation mutation) : random(seed), nodes(instances + 1), m_mutation(mutation)
 {
     // Rate errors up to 1% in both directions, offsets of up to an hour before and after.
     const auto drawClock = [this] {
-        const double rate = 1 + 0.01 * (static_cast<double>(chance(2001)) - 1000) / 1000;
-        return DriftingClock{rate, static_cast<std::int64_t>(chance(7200)) * second - 3600 * second};
+        const double rate = 1 + 0.01 * (static_cast<double>(randomBelow(2001)) - 1000) / 1000;
+        return DriftingClock{rate, static_cast<std::int64_t>(randomBelow(7200)) * second - 3600 * second};
     };
     for (Node &node : nodes) {
         node.clock = drawClock();
@@ -29,27 +29,27 @@
     for (std::uint32_t pool = 1; pool <= poolCount; ++pool) {
         m_committed.pools.push_back({PoolId(pool), domain, InstanceId{}, 0, 1, 0});
     }
-    m_leader = becomeLeader(1, {}, m_index, m_committed.registered, m_committed.pools, m_leaderClocks[0].at(0));
+    m_leader = makeLeaderState(1, {}, m_index, m_committed.registered, m_committed.pools, m_leaderClocks[0].at(0));
 }
 
-std::uint64_t World::chance(std::uint64_t range)
+std::uint64_t LeaseSimulation::randomBelow(std::uint64_t range)
 {
     return random() % range;
 }
 
-void World::send(std::size_t from, std::size_t to, std::function<void()> deliver)
+void LeaseSimulation::send(std::size_t from, std::size_t to, std::function<void()> deliver)
 {
-    if (cuts.contains({from, to}) || (from != to && static_cast<double>(chance(1000)) < loss * 1000)) {
+    if (cuts.contains({from, to}) || (from != to && static_cast<double>(randomBelow(1000)) < loss * 1000)) {
         return;
     }
     const auto bound = static_cast<std::uint64_t>(std::chrono::nanoseconds(maximumDelay).count());
     // One message in 50 takes up to 5 s, longer than a pool lease, while delays are on.
-    const bool late = maximumDelay > milliseconds(20) && chance(50) == 0;
-    const auto delay = static_cast<std::int64_t>(late ? chance(5 * static_cast<std::uint64_t>(second)) : chance(bound + 1));
+    const bool late = maximumDelay > milliseconds(20) && randomBelow(50) == 0;
+    const auto delay = static_cast<std::int64_t>(late ? randomBelow(5 * static_cast<std::uint64_t>(second)) : randomBelow(bound + 1));
     m_messages.emplace(now + delay, Message{from, to, nodes[to].incarnation, std::move(deliver)});
 }
 
-void World::deliverDue()
+void LeaseSimulation::deliverDue()
 {
     while (!m_messages.empty() && m_messages.begin()->first <= now) {
         const Message message = std::move(m_messages.begin()->second);
@@ -63,7 +63,7 @@
     }
 }
 
-void World::startNode(std::size_t index)
+void LeaseSimulation::startNode(std::size_t index)
 {
     Node &node = nodes[index];
     const TimePoint local = node.clock.at(now);
@@ -73,7 +73,7 @@
     node.holder = PoolHolder{};
     node.holder.self = idOf(index);
     node.holder.incarnation = node.incarnation;
-    node.holder.startedAt = m_mistake == Mistake::NoWaitAfterRestart ? local - seconds(60) : local;
+    node.holder.startedAt = m_mutation == Mutation::NoWaitAfterRestart ? local - seconds(60) : local;
     node.renewal = RenewalState{};
     node.renewal.self = idOf(index);
     node.renewal.incarnation = node.incarnation;
@@ -81,13 +81,13 @@
     node.nextRenewal = local;
 }
 
-void World::crash(std::size_t node, Duration downFor)
+void LeaseSimulation::crash(std::size_t node, Duration downtime)
 {
     nodes[node].running = false;
-    nodes[node].startAt = now + std::chrono::nanoseconds(downFor).count();
+    nodes[node].startAt = now + std::chrono::nanoseconds(downtime).count();
 }
 
-void World::registerNode(std::size_t node, std::uint64_t incarnation)
+void LeaseSimulation::registerNode(std::size_t node, std::uint64_t incarnation)
 {
     auto &registered = m_committed.registered;
     const auto same = [node](const RegisteredInstance &instance) {
@@ -99,17 +99,17 @@
     });
     if (!known) {
         Version since = old == registered.end() ? m_index + 1 : old->since;
-        if (m_mistake == Mistake::AnyoneSucceeds) {
+        if (m_mutation == Mutation::AnyInstanceSucceeds) {
             since = 0;
         }
         commit([&](ControlState &state) {
             state.registered.push_back({idOf(node), "n" + std::to_string(node), domain, incarnation, since, true});
         });
-        setRegistered(m_leader, m_committed.registered);
+        setRegisteredInstances(m_leader, m_committed.registered);
     }
 }
 
-void World::commit(const std::function<void(ControlState &)> &change)
+void LeaseSimulation::commit(const std::function<void(ControlState &)> &change)
 {
     change(m_committed);
     onCommitted(m_leader, ++m_index, m_leaderClocks[m_leaderClock].at(now));
@@ -118,22 +118,22 @@
     }
 }
 
-void World::stopAccepting(std::size_t node)
+void LeaseSimulation::stopAccepting(std::size_t node)
 {
     commit([node](ControlState &state) {
         for (RegisteredInstance &instance : state.registered) {
-            instance.accepting = instance.accepting && instance.id != idOf(node);
+            instance.acceptsPools = instance.acceptsPools && instance.id != idOf(node);
         }
     });
-    setRegistered(m_leader, m_committed.registered);
+    setRegisteredInstances(m_leader, m_committed.registered);
 }
 
-void World::commitChange()
+void LeaseSimulation::commitChange()
 {
     commit([](ControlState &) {});
 }
 
-void World::sendState(std::size_t from, std::size_t to, const ControlState &state, Version index)
+void LeaseSimulation::sendState(std::size_t from, std::size_t to, const ControlState &state, Version index)
 {
     send(from, to, [this, to, state, index] {
         Node &node = nodes[to];
@@ -149,7 +149,7 @@
     });
 }
 
-void World::sendRenewRequest(std::size_t from)
+void LeaseSimulation::sendRenewRequest(std::size_t from)
 {
     Node &node = nodes[from];
     const RenewRequest request = makeRenewRequest(node.renewal, poolsToRenew(node.holder), node.clock.at(now));
@@ -160,7 +160,7 @@
         } else {
             onDownstreamRequest(nodes[to].renewal, request);
             sendState(to, from, nodes[to].state, nodes[to].renewal.applied);
-            if (m_mistake == Mistake::RelayRenewsAlone && isFresh(nodes[to].renewal, nodes[to].clock.at(now))) {
+            if (m_mutation == Mutation::RelayRenewsAlone && isFresh(nodes[to].renewal, nodes[to].clock.at(now))) {
                 RenewReply reply;
                 reply.sequence = request.sequence;
                 reply.incarnation = request.self.incarnation;
@@ -171,7 +171,7 @@
     });
 }
 
-void World::receiveRequest(std::size_t from, const RenewRequest &request)
+void LeaseSimulation::receiveRequest(std::size_t from, const RenewRequest &request)
 {
     registerNode(from, request.self.incarnation);
     for (const FollowerEntry &entry : request.followers) {
@@ -182,24 +182,24 @@
     }
     const TimePoint local = m_leaderClocks[m_leaderClock].at(now);
     static_cast<void>(onRenewRequest(m_leader, std::to_string(from), request, local));
-    for (const AnsweredRenewal &answered : answerRenewals(m_leader, m_committed.pools, local, local)) {
+    for (const OutgoingRenewReply &answered : answerRenewals(m_leader, m_committed.pools, local, local)) {
         send(0, from, [this, from, reply = answered.reply] {
             receiveReply(from, reply);
         });
     }
 }
 
-void World::receiveReply(std::size_t index, RenewReply reply)
+void LeaseSimulation::receiveReply(std::size_t index, RenewReply reply)
 {
     Node &node = nodes[index];
     const TimePoint local = node.clock.at(now);
-    if (m_mistake == Mistake::LeaseFromReceipt) {
+    if (m_mutation == Mutation::LeaseFromReceipt) {
         for (SentRenewal &sent : node.renewal.sent) {
             sent.sentAt = local;
         }
     }
     RenewalOutcome outcome = onRenewReply(node.renewal, reply, local);
-    onLeaderRenewal(node.holder, outcome.ownPools, outcome.ownPoolsFrom);
+    onLeaderRenewal(node.holder, outcome.ownPools, outcome.ownPoolsLeaseStart);
     for (auto &[follower, followerReply] : outcome.replies) {
         send(index, number(follower), [this, to = number(follower), passed = followerReply] {
             receiveReply(to, passed);
@@ -207,19 +207,19 @@
     }
 }
 
-void World::sendPromise(std::size_t from, std::size_t to, const Promise &promise)
+void LeaseSimulation::sendPromise(std::size_t from, std::size_t to, const Promise &promise)
 {
     send(from, to, [this, to, promise] {
         receivePromise(to, promise);
     });
 }
 
-void World::receivePromise(std::size_t index, Promise promise)
+void LeaseSimulation::receivePromise(std::size_t index, Promise promise)
 {
     Node &node = nodes[index];
     const TimePoint local = node.clock.at(now);
     if (promise.kind != PromiseKind::Request) {
-        if (m_mistake == Mistake::PromiseFromReceipt) {
+        if (m_mutation == Mutation::PromiseFromReceipt) {
             promise.ownerTime = nanosecondsOf(local);
         }
         onPromise(node.holder, promise, local);
@@ -228,21 +228,21 @@
     for (const Promise &answer : onPromiseRequest(node.holder, promise, local)) {
         sendPromise(index, number(promise.from), answer);
     }
-    if (m_mistake == Mistake::PromisesIgnored) {
+    if (m_mutation == Mutation::PromisesIgnored) {
         for (auto &[id, pool] : node.holder.pools) {
-            pool.given.clear();
+            pool.givenPromises.clear();
         }
     }
 }
 
-void World::tickNode(std::size_t index)
+void LeaseSimulation::tickNode(std::size_t index)
 {
     Node &node = nodes[index];
     const TimePoint local = node.clock.at(now);
     if (!node.running || node.pausedUntil > now) {
         return;
     }
-    static_cast<void>(startPools(node.holder, local));
+    static_cast<void>(activatePools(node.holder, local));
     if (local < node.nextRenewal) {
         return;
     }
@@ -255,12 +255,12 @@
     }
 }
 
-void World::tickLeader()
+void LeaseSimulation::tickLeader()
 {
     const TimePoint local = m_leaderClocks[m_leaderClock].at(now);
     updateReachability(m_leader, local);
     for (const PlannedAssignment &planned : planAssignments(m_leader, m_committed.pools, local)) {
-        if (planned.step == AssignmentStep::AskForRelease) {
+        if (planned.step == AssignmentStep::RequestRelease) {
             const auto owner = number(m_committed.pools[number(planned.pool) - 1].owner);
             send(0, owner, [this, owner] {
                 release(owner);
@@ -278,7 +278,7 @@
     }
 }
 
-void World::release(std::size_t index)
+void LeaseSimulation::release(std::size_t index)
 {
     Node &node = nodes[index];
     for (const PoolRenewal &held : poolsToRenew(node.holder)) {
@@ -288,9 +288,9 @@
         }
         send(index, 0, [this, held, incarnation = node.incarnation] {
             PoolAssignment &pool = m_committed.pools[number(held.pool) - 1];
-            if (pool.fencing == held.fencing && pool.owner == held.owner && pool.releasedBy == 0) {
+            if (pool.fencing == held.fencing && pool.owner == held.owner && pool.releasedByIncarnation == 0) {
                 commit([&](ControlState &) {
-                    pool.releasedBy = incarnation;
+                    pool.releasedByIncarnation = incarnation;
                 });
             }
         });
@@ -298,13 +298,13 @@
     }
 }
 
-void World::changeLeader()
+void LeaseSimulation::changeLeader()
 {
     m_leaderClock = (m_leaderClock + 1) % m_leaderClocks.size();
     commitChange(); // the entry of the new term
     const TimePoint local = m_leaderClocks[m_leaderClock].at(now);
-    m_leader = becomeLeader(m_leader.term + 1, {}, m_index, m_committed.registered, m_committed.pools, local);
-    if (m_mistake == Mistake::NewLeaderForgetsLeases) {
+    m_leader = makeLeaderState(m_leader.term + 1, {}, m_index, m_committed.registered, m_committed.pools, local);
+    if (m_mutation == Mutation::NewLeaderForgetsLeases) {
         m_leader.freshness.clear();
         for (auto &[id, lease] : m_leader.pools) {
             lease.mayOwnUntil = neverTime;
@@ -312,7 +312,7 @@
     }
 }
 
-void World::cutBoth(std::size_t a, std::size_t b, bool cut)
+void LeaseSimulation::setLinkCut(std::size_t a, std::size_t b, bool cut)
 {
     for (const auto &direction : {std::pair{a, b}, std::pair{b, a}}) {
         if (cut) {
@@ -323,7 +323,7 @@
     }
 }
 
-std::size_t World::ownerOf(std::size_t pool) const
+std::size_t LeaseSimulation::ownerOf(std::size_t pool) const
 {
     for (std::size_t index = 1; index < nodes.size(); ++index) {
         const Node &node = nodes[index];
@@ -334,7 +334,7 @@
     return 0;
 }
 
-void World::check()
+void LeaseSimulation::check()
 {
     bool allOwned = true;
     for (std::uint32_t pool = 1; pool <= poolCount; ++pool) {
@@ -350,12 +350,12 @@
         const Node &node = nodes[index];
         if (node.running && isFresh(node.renewal, node.clock.at(now))) {
             ++freshSteps;
-            staleButFresh += node.renewal.applied < acknowledged ? 1 : 0;
+            staleWithLease += node.renewal.applied < acknowledged ? 1 : 0;
         }
     }
 }
 
-void World::run(Duration duration, const std::function<void()> &faults)
+void LeaseSimulation::run(Duration duration, const std::function<void()> &faults)
 {
     const std::int64_t end = now + std::chrono::nanoseconds(duration).count();
     while (now < end) {
@@ -379,7 +379,7 @@
     }
 }
 
-void World::settle()
+void LeaseSimulation::startAndStabilize()
 {
     for (std::size_t node = 1; node < nodes.size(); ++node) {
         startNode(node);
--- a/tests/membership/world.h
+++ b/tests/membership/leasesimulation.h
@@ -16,7 +16,7 @@
 namespace mimosahollow::membership::test {
 
 /** Deliberate mistakes that the checks must find. */
-enum class Mistake {
+enum class Mutation {
     None,
     LeaseFromReceipt,
     PromiseFromReceipt,
@@ -24,7 +24,7 @@
     NewLeaderForgetsLeases,
     PromisesIgnored,
     RelayRenewsAlone,
-    AnyoneSucceeds,
+    AnyInstanceSucceeds,
 };
 
 /** Control state at one log index. */
@@ -66,29 +66,29 @@
  * The log and the majority are ideal: the active leader commits at once. Everything else goes through a network that
  * loses, delays and cuts messages in each direction, with clocks that differ in offset and rate.
  */
-class World
+class LeaseSimulation
 {
 public:
     static constexpr std::int64_t step = 10'000'000; // 10 ms
     static constexpr std::size_t poolCount = 3;
     static constexpr DomainId domain{1};
 
-    World(std::uint64_t seed, std::size_t instances, Mistake mistake = Mistake::None);
+    LeaseSimulation(std::uint64_t seed, std::size_t instances, Mutation mutation = Mutation::None);
 
     /** Runs for @p duration; @p faults is called in each step. */
     void run(Duration duration, const std::function<void()> &faults = {});
     /** Everything is registered, has an owner, and the owner is valid. */
-    void settle();
+    void startAndStabilize();
 
     void startNode(std::size_t node);
-    void crash(std::size_t node, Duration downFor);
+    void crash(std::size_t node, Duration downtime);
     void changeLeader();
     void stopAccepting(std::size_t node);
     void release(std::size_t node);
     void commitChange();
-    void cutBoth(std::size_t a, std::size_t b, bool cut);
+    void setLinkCut(std::size_t a, std::size_t b, bool cut);
     [[nodiscard]] std::size_t ownerOf(std::size_t pool) const; /**< 0: no valid owner. */
-    [[nodiscard]] std::uint64_t chance(std::uint64_t range);
+    [[nodiscard]] std::uint64_t randomBelow(std::uint64_t range);
 
     std::mt19937_64 random;
     std::int64_t now = 0;
@@ -100,7 +100,7 @@
 
     // Results of the checks.
     std::size_t doubleOwners = 0;
-    std::size_t staleButFresh = 0;
+    std::size_t staleWithLease = 0;
     std::size_t ownedSteps = 0; /**< Steps in which each pool had an owner. */
     std::size_t freshSteps = 0;
     Version acknowledged = 0;
@@ -129,7 +129,7 @@
         std::function<void()> deliver;
     };
 
-    Mistake m_mistake;
+    Mutation m_mutation;
     std::multimap<std::int64_t, Message> m_messages;
     std::vector<DriftingClock> m_leaderClocks;
     std::size_t m_leaderClock = 0;
--- a/tests/membership/view.cpp
+++ b/tests/membership/view.cpp
@@ -23,15 +23,15 @@
     std::map<std::pair<std::string, std::string>, std::size_t> suspicions;
     std::size_t relayChanges = 0;
 
-    void add(const std::string &name, const std::string &domain, const std::string &knows)
+    void add(const std::string &name, const std::string &domain, const std::string &seedName)
     {
         View view;
         view.self = {name, domain, "127.0.0.1:1", 1};
         views.push_back(view);
-        if (!knows.empty()) {
-            learn(views.back(), find(knows).self, clockOf(views.size() - 1));
-            View &known = find(knows);
-            learn(known, view.self, clockOf(static_cast<std::size_t>(&known - views.data())));
+        if (!seedName.empty()) {
+            recordInstance(views.back(), find(seedName).self, clockOf(views.size() - 1));
+            View &known = find(seedName);
+            recordInstance(known, view.self, clockOf(static_cast<std::size_t>(&known - views.data())));
         }
     }
 
@@ -70,7 +70,7 @@
     {
         for (std::size_t i = 0; i < views.size(); ++i) {
             if (views[i].self.name == outgoing.to && !cuts.contains({from.self.name, outgoing.to})) {
-                learn(views[i], from.self, clockOf(i)); // the Hello of a new connection
+                recordInstance(views[i], from.self, clockOf(i)); // the Hello of a new connection
                 onHeartbeat(views[i], from.self.name, outgoing.heartbeat, clockOf(i));
             }
         }
@@ -167,24 +167,24 @@
         View &a1 = fleet.find("a1");
         InstanceRecord restarted = a1.known.at("a2").record;
         restarted.incarnation = 2;
-        learn(a1, restarted, fleet.now);
+        recordInstance(a1, restarted, fleet.now);
         REQUIRE(a1.known.at("a2").record.incarnation == 2);
-        REQUIRE(a1.known.at("a2").heardAt == neverTime);
+        REQUIRE(a1.known.at("a2").lastHeartbeatAt == neverTime);
         restarted.incarnation = 1;
-        learn(a1, restarted, fleet.now);
+        recordInstance(a1, restarted, fleet.now);
         REQUIRE(a1.known.at("a2").record.incarnation == 2);
     }
 
     SECTION("an echo from the future is no proof of contact")
     {
         View &a1 = fleet.find("a1");
-        const TimePoint before = a1.known.at("a2").confirmedAt;
+        const TimePoint before = a1.known.at("a2").lastAcknowledgedAt;
         Heartbeat heartbeat{1, 5, 1, nanosecondsOf(fleet.now + seconds(100)), false, "", {}};
         onHeartbeat(a1, "a2", heartbeat, fleet.now);
-        REQUIRE(a1.known.at("a2").confirmedAt == before);
+        REQUIRE(a1.known.at("a2").lastAcknowledgedAt == before);
         heartbeat.echoSentAt = std::numeric_limits<std::int64_t>::min();
         onHeartbeat(a1, "a2", heartbeat, fleet.now);
-        REQUIRE(a1.known.at("a2").confirmedAt == before);
+        REQUIRE(a1.known.at("a2").lastAcknowledgedAt == before);
     }
 }
 
