--- a/include/mimosahollow/membership/assignment.h
+++ b/include/mimosahollow/membership/assignment.h
@@ -9,8 +9,8 @@
 namespace mimosahollow::membership {
 
 enum class AssignmentStep : std::uint8_t {
-    Assign, /**< Commit the owner with the fencing number. */
-    RequestRelease, /**< Ask the present owner for a graceful handover to the new one. */
+    Assign, /**< Commit a new owner with a new fencing number. */
+    RequestRelease, /**< Ask the current owner to release the pool for a graceful handover. */
 };
 
 struct PlannedAssignment
@@ -18,13 +18,13 @@
     AssignmentStep step = AssignmentStep::Assign;
     PoolId pool{};
     InstanceId owner{};
-    FencingNumber fencing = 0; /**< For Assign: the new number. For AskForRelease: the present one. */
+    FencingNumber fencing = 0; /**< For Assign: the new number. For RequestRelease: the current one. */
 };
 
-/** What the leader changes about pool ownership now. Rendezvous hashing with hysteresis. Call it at least every 500 ms. */
+/** Plans the ownership changes that are due, by rendezvous hashing with hysteresis. Call it at least every 500 ms. */
 [[nodiscard]] std::vector<PlannedAssignment> planAssignments(LeaderState &state, std::span<const PoolAssignment> pools, TimePoint now);
 
-/** Weight of @p instance for @p key in rendezvous hashing; the highest wins. */
+/** Rendezvous hashing weight of @p instance for @p key; the instance with the highest weight is chosen. */
 [[nodiscard]] std::uint64_t rendezvousWeight(std::string_view key, std::string_view instance) noexcept;
 
 } // namespace mimosahollow::membership
--- a/include/mimosahollow/membership/feed.h
+++ b/include/mimosahollow/membership/feed.h
@@ -15,13 +15,13 @@
 
 namespace mimosahollow::membership {
 
-/** Increments kept for subscribers. 4 MiB hold several thousand changes; a subscriber further behind gets a snapshot. */
+/** Limit of the increments retained for subscribers. 4 MiB hold several thousand changes; a subscriber further behind gets a snapshot. */
 constexpr std::size_t maximumFeedBytes = std::size_t{4} << 20;
-/** Payload of one update; leaves room for the frame and the other fields below the frame limit of 4 MiB. */
+/** Target payload size of one update; leaves room for the frame header and other fields below the frame limit of 4 MiB. */
 constexpr std::size_t maximumUpdateBytes = std::size_t{1} << 20;
-/** Largest increment that is sent as such; an update holds at least one, and a frame is limited to 4 MiB. */
+/** Larger increments are delivered in a snapshot: an update holds at least one whole increment, and a frame is limited to 4 MiB. */
 constexpr std::size_t maximumIncrementBytes = std::size_t{3} << 20;
-/** Largest snapshot that a subscriber assembles: the memory target of a follower. */
+/** Largest snapshot that a subscriber assembles; equals the memory target of a follower. */
 constexpr std::size_t maximumSnapshotBytes = std::size_t{32} << 20;
 
 struct Increment
@@ -33,44 +33,44 @@
 struct Subscriber
 {
     Version nextIndex = 0; /**< 0: needs a snapshot. */
-    std::uint32_t nextPart = 0; /**< Within a snapshot. */
-    Version snapshotIndex = 0; /**< Snapshot that is being sent; 0: none. */
+    std::uint32_t nextPart = 0; /**< Next part of the snapshot being sent. */
+    Version snapshotIndex = 0; /**< Log index of the snapshot being sent; 0: none. */
 };
 
-/** Source of the control state for subscribers: at the leader, at voters and at relays. Owned by the control thread. */
+/** Distributes the control state to subscribers; used by the leader, voters and relays. Owned by the control thread. */
 struct Feed
 {
-    std::deque<Increment> increments; /**< Without gaps. */
+    std::deque<Increment> increments; /**< Contiguous log indexes. */
     std::size_t bytes = 0;
     Version lastIndex = 0;
     std::vector<std::uint8_t> snapshot;
-    Version snapshotIndex = 0; /**< 0: no snapshot is held. */
+    Version snapshotIndex = 0; /**< 0: no snapshot is stored. */
     std::map<std::string, Subscriber, std::less<>> subscribers; /**< By link peer. */
 };
 
-/** Adds the increment after lastIndex. Returns false for any other index. */
+/** Appends the increment at lastIndex + 1. Returns false for any other index. */
 [[nodiscard]] bool append(Feed &feed, Increment increment);
 
-/** Gives the feed a snapshot at @p index. Increments it covers stay, so that close subscribers need no snapshot. */
+/** Stores a snapshot at @p index. Increments that it covers are kept, so that subscribers only slightly behind need no snapshot. */
 void setSnapshot(Feed &feed, Version index, std::vector<std::uint8_t> snapshot);
 
 void onSubscribe(Feed &feed, std::string_view peer, const Subscribe &subscribe);
 void removeSubscriber(Feed &feed, std::string_view peer);
 
-/** Whether a subscriber waits for a snapshot that the feed does not hold or that is too old. Call setSnapshot() then. */
+/** Whether a subscriber needs a snapshot and the stored one is missing or too old. If true, call setSnapshot(). */
 [[nodiscard]] bool needsSnapshot(const Feed &feed);
 
-/** The next update for @p peer. Returns nothing when it is up to date. */
+/** Returns the next update for @p peer, or nothing if the peer is up to date or must wait for a snapshot. */
 [[nodiscard]] std::optional<Update> nextUpdate(const Feed &feed, std::string_view peer, std::string_view leader);
 
-/** Call it when the link has taken @p update; after a full send queue call nextUpdate() again later instead. */
+/** Call it once the link has accepted @p update. If the send queue is full, call nextUpdate() again later instead. */
 void markSent(Feed &feed, std::string_view peer, const Update &update);
 
-/** Receiving side of the control state. */
+/** State of a subscriber that reads updates. */
 struct FeedReader
 {
     Version applied = 0;
-    Version snapshotIndex = 0; /**< Snapshot that is being assembled. */
+    Version snapshotIndex = 0; /**< Log index of the snapshot being assembled; 0: none. */
     std::uint32_t nextPart = 0;
     std::vector<std::uint8_t> assembled;
 };
@@ -86,11 +86,11 @@
     Version lastIndex = 0;
     std::vector<Increment> increments;
 };
-/** Nothing to do: a part of a snapshot, or indexes that are applied already. */
+/** The update was an incomplete snapshot, or was already applied. */
 struct NothingToApply
 {
 };
-/** Updates are missing or malformed; send this to the upstream instance. */
+/** An update is missing or malformed; subscribe to the upstream instance again from nextIndex. */
 struct Resubscribe
 {
     Version nextIndex = 0;
@@ -99,8 +99,9 @@
 
 [[nodiscard]] ReadResult onUpdate(FeedReader &reader, Update update);
 
-/** Joins increments into the payload of an update, and splits it. The split is empty for malformed bytes. */
+/** Encodes increments as the payload of an update, each with a 4-byte little-endian length prefix. */
 [[nodiscard]] std::vector<std::uint8_t> joinIncrements(std::span<const Increment> increments);
+/** Decodes the payload of an update. Returns an empty vector if it is malformed. */
 [[nodiscard]] std::vector<Increment> splitIncrements(std::span<const std::uint8_t> payload, Version firstIndex, Version lastIndex);
 
 } // namespace mimosahollow::membership
--- a/include/mimosahollow/membership/hello.h
+++ b/include/mimosahollow/membership/hello.h
@@ -12,7 +12,7 @@
 {
     std::string fleet;
     InstanceRecord instance;
-    std::uint16_t minimumVersion = 0; /**< Oldest protocol version that the sender understands. */
+    std::uint16_t minimumVersion = 0; /**< Oldest protocol version that the sender supports. */
     std::uint16_t maximumVersion = 0;
 
     friend bool operator==(const Hello &, const Hello &) = default;
--- a/include/mimosahollow/membership/leaderstate.h
+++ b/include/mimosahollow/membership/leaderstate.h
@@ -13,9 +13,9 @@
 namespace mimosahollow::membership {
 
 /**
- * A process of an instance in the control state.
+ * A process of an instance that is registered in the control state.
  *
- * After a restart the list holds the earlier incarnation too, until its freshness lease has run out for certain.
+ * After a restart the previous incarnation stays registered until its freshness lease has certainly expired.
  */
 struct RegisteredInstance
 {
@@ -23,11 +23,11 @@
     std::string name;
     DomainId domain{};
     std::uint64_t incarnation = 0;
-    Version since = 0; /**< Log index from which on it is registered without a gap; a new incarnation does not change it. */
-    bool acceptsPools = true; /**< False while it shuts down; it gets no pools. */
+    Version since = 0; /**< Log index since which the instance is registered without interruption; kept when it restarts. */
+    bool acceptsPools = true; /**< False during shutdown: no pools are assigned to it. */
 };
 
-/** A pool or a domain's token bucket in the control state. */
+/** Owner of a pool, or of the token bucket of a domain, in the control state. */
 struct PoolAssignment
 {
     PoolId pool{};
@@ -35,30 +35,30 @@
     InstanceId owner{}; /**< 0: none yet. */
     FencingNumber fencing = 0;
     Version index = 0; /**< Log index of the assignment. */
-    std::uint64_t releasedByIncarnation = 0; /**< Incarnation of the owner that has given the pool up; 0: not given up. */
+    std::uint64_t releasedByIncarnation = 0; /**< Incarnation of the owner that released the pool; 0: not released. */
 };
 
 struct LeaseTimes
 {
     Duration freshness = seconds(10);
-    Duration poolLease = seconds(3); /**< An instance without two-way contact for this long counts as lost. */
-    /** An instance that lags more than this behind a committed index gets no lease, so that it delays no acknowledgement for ever. */
+    Duration poolLease = seconds(3); /**< Also the time without bidirectional contact after which an instance counts as unreachable. */
+    /** An instance that has not applied an index this long after its commit gets no lease, so that it cannot delay acknowledgements indefinitely. */
     Duration applyGracePeriod = seconds(1);
-    /** An instance that was lost must be reachable this long before pools move to it; doubles with each further loss. */
+    /** Time for which an instance must be reachable after a failure before pools move to it; doubles with each further failure. */
     Duration stabilizationTime = seconds(60);
 };
 
-/** Until when a process may serve, and what it applies for certain. */
+/** Freshness lease of a process and the log index that it is known to have applied. */
 struct FreshnessLease
 {
     Version confirmedIndex = 0;
     TimePoint mayServeUntil = neverTime;
 };
 
-/** Two-way contact between the leader and an instance. */
+/** Bidirectional contact between the leader and an instance. */
 struct Reachability
 {
-    TimePoint lastEchoAt = neverTime; /**< Time of the newest own stamp that came back. */
+    TimePoint lastEchoAt = neverTime; /**< Time of the newest stamp of this leader that the instance has echoed. */
     TimePoint reachableSince = neverTime;
     std::uint32_t failureCount = 0;
     bool reachable = false;
@@ -66,17 +66,17 @@
 
 struct PoolLease
 {
-    TimePoint mayOwnUntil = neverTime; /**< The lease by the leader has run out for certain after this time. */
-    Version ownerAppliedIndex = 0; /**< The owner's set of registered instances is at least as new as this log index. */
+    TimePoint mayOwnUntil = neverTime; /**< After this time the lease from the leader has certainly expired. */
+    Version ownerAppliedIndex = 0; /**< The owner has applied at least this log index, and so knows the instances registered by then. */
     FencingNumber fencing = 0;
-    std::uint64_t incarnation = 0; /**< Process that the lease was given to last; 0: unknown. */
-    TimePoint renewalDeadline = neverTime; /**< A reachable owner that has not renewed by then does not run the pool. */
+    std::uint64_t incarnation = 0; /**< Incarnation of the owner to which the lease was last granted; 0: unknown. */
+    TimePoint renewalDeadline = neverTime; /**< An owner that has not renewed by then is treated as not serving the pool, even if it is reachable. */
 };
 
 struct PendingRenewal
 {
     RenewRequest request;
-    std::string from; /**< Link peer that gets the reply. */
+    std::string from; /**< Link peer to which the reply is sent. */
     TimePoint receivedAt{};
 };
 
@@ -86,14 +86,14 @@
     TimePoint at{};
 };
 
-/** Leases that the control leader has given out. Volatile; a new leader starts from becomeLeader(). */
+/** Leases granted by the control leader. Not persisted; a new leader starts from makeLeaderState(). */
 struct LeaderState
 {
     std::uint64_t term = 0;
     TimePoint since{};
     LeaseTimes times;
-    Version requiredIndex = 0; /**< A process that applies less gets no lease. */
-    std::deque<CommittedIndex> notYetRequired; /**< Committed, not yet required. */
+    Version requiredIndex = 0; /**< A process that has applied less gets no lease. */
+    std::deque<CommittedIndex> notYetRequired; /**< Committed indexes that are still within the apply grace period. */
     std::vector<RegisteredInstance> registered;
     std::map<ProcessId, FreshnessLease> freshness;
     std::map<InstanceId, Reachability> reachability;
@@ -107,10 +107,10 @@
     RenewReply reply;
 };
 
-/** Time in which a reachable owner must renew: its first renewal needs the assignment to arrive, which takes seconds at most. */
+/** Time within which an owner must renew; covers the delivery of a new assignment, which takes seconds at most. */
 [[nodiscard]] Duration renewalTimeout(const LeaseTimes &times) noexcept;
 
-/** State of a new leader. All registered processes and pool owners count as having a lease that starts now. */
+/** State of a new leader. It assumes that every registered process and every pool owner holds a lease granted at @p now. */
 [[nodiscard]] LeaderState makeLeaderState(std::uint64_t term,
                                           const LeaseTimes &times,
                                           Version commitIndex,
@@ -118,35 +118,36 @@
                                           std::span<const PoolAssignment> pools,
                                           TimePoint now);
 
-/** Must be called with the registered instances after each change of them, before the change is acknowledged. */
+/** Must be called after each change of the registered instances, before that change is acknowledged. */
 void setRegisteredInstances(LeaderState &state, std::span<const RegisteredInstance> registered);
 
-/** An index was committed. */
+/** Records the commit of @p index. */
 void onCommitted(LeaderState &state, Version index, TimePoint now);
 
-/** Keeps a request until leadership is confirmed. Returns false when too many wait. */
+/** Queues a request until leadership is confirmed. Returns false if the queue is full. */
 [[nodiscard]] bool onRenewRequest(LeaderState &state, std::string from, RenewRequest request, TimePoint now);
 
 /**
- * Answers the requests that arrived before @p roundStartedAt. Call it when a majority has confirmed the leadership in a
- * round of messages that was sent at that time or later.
+ * Answers the requests that arrived no later than @p roundStartedAt. Call it once a majority has confirmed the
+ * leadership in a message round that started at that time or later.
  */
 [[nodiscard]] std::vector<OutgoingRenewReply>
 answerRenewals(LeaderState &state, std::span<const PoolAssignment> pools, TimePoint roundStartedAt, TimePoint now);
 
+/** Records applied log indexes; removes the freshness leases of instances that are leaving. */
 void onConfirm(LeaderState &state, const Confirm &confirm);
 
 /**
- * Whether every process applies the committed @p index or has a freshness lease that has run out.
+ * Whether every process has applied the committed @p index or has an expired freshness lease.
  *
- * When it returns true the index may be acknowledged: from then on no process that applies less gets a lease.
+ * If it returns true the index may be acknowledged, and from then on no process that has applied less gets a lease.
  */
 [[nodiscard]] bool isInForce(LeaderState &state, Version index, TimePoint now);
 
-/** When isInForce() becomes true without any further confirmation. */
+/** Time at which isInForce() becomes true if no further confirmation arrives. */
 [[nodiscard]] TimePoint inForceAt(const LeaderState &state, Version index, TimePoint now);
 
-/** Updates losses; call it at least every 500 ms. */
+/** Marks instances without recent echoes as unreachable; call it at least every 500 ms. */
 void updateReachability(LeaderState &state, TimePoint now);
 
 [[nodiscard]] bool isReachable(const LeaderState &state, InstanceId instance) noexcept;
--- a/include/mimosahollow/membership/leasetime.h
+++ b/include/mimosahollow/membership/leasetime.h
@@ -6,16 +6,16 @@
 
 namespace mimosahollow::membership {
 
-/** Largest rate error of a steady clock that the leases tolerate, in parts per thousand. Oscillators stay far below it. */
+/** Largest rate error of a steady clock that leases tolerate, in parts per thousand. Real oscillators stay far below it. */
 constexpr std::int64_t clockRateErrorPermille = 10;
 
-/** "Never" for times that lie in the past. */
+/** Marks an event that has not happened, or a lease that was never granted. */
 constexpr TimePoint neverTime = TimePoint::min();
 
 /**
- * Time that must pass on the granter's clock until a lease of @p lease on the holder's clock has run out for certain.
+ * Time on the granter's clock after which a lease of length @p lease on the holder's clock has certainly expired.
  *
- * The granter's clock may be fast and the holder's slow by the tolerated error; the extra millisecond covers rounding.
+ * Assumes that the granter's clock is fast and the holder's slow by clockRateErrorPermille; 1 ms is added for rounding.
  */
 [[nodiscard]] constexpr Duration granterLeaseDuration(Duration lease) noexcept
 {
--- a/include/mimosahollow/membership/renewal.h
+++ b/include/mimosahollow/membership/renewal.h
@@ -9,7 +9,7 @@
 
 namespace mimosahollow::membership {
 
-/** Time of the control leader that instances send back as proof that its replies arrive. Only that leader interprets it. */
+/** Timestamp of the control leader that instances echo to prove that its replies arrive. Opaque to all but that leader. */
 struct LeaderStamp
 {
     std::uint64_t term = 0;
@@ -22,18 +22,18 @@
     }
 };
 
-/** State of one instance as it reports it to the control leader. */
+/** State that an instance reports to the control leader. */
 struct FollowerEntry
 {
     InstanceId instance{};
     std::uint64_t incarnation = 0;
-    Version applied = 0; /**< Log index up to which the instance applies the configuration. */
-    LeaderStamp echo; /**< Newest stamp that has arrived. */
+    Version applied = 0; /**< Last log index that the instance has applied. */
+    LeaderStamp echo; /**< Newest stamp received. */
 
     friend bool operator==(const FollowerEntry &, const FollowerEntry &) = default;
 };
 
-/** A pool lease that its owner wants to renew, or that the leader has renewed. */
+/** A pool lease: to be renewed in a request, renewed by the leader in a reply. */
 struct PoolRenewal
 {
     PoolId pool{};
@@ -43,10 +43,10 @@
     friend bool operator==(const PoolRenewal &, const PoolRenewal &) = default;
 };
 
-/** Asks for freshness and pool leases; a relay adds what its followers asked for. */
+/** Requests freshness and pool leases; a relay merges the requests of its followers into its own. */
 struct RenewRequest
 {
-    std::uint64_t sequence = 0; /**< The sender remembers the send time of each sequence number. */
+    std::uint64_t sequence = 0; /**< The sender stores the send time under this number. */
     FollowerEntry self;
     std::vector<FollowerEntry> followers;
     std::vector<PoolRenewal> pools;
@@ -54,7 +54,7 @@
     friend bool operator==(const RenewRequest &, const RenewRequest &) = default;
 };
 
-/** One run of an instance. */
+/** One process of an instance, from start to exit. */
 struct ProcessId
 {
     InstanceId instance{};
@@ -67,24 +67,24 @@
     }
 };
 
-/** Answer to one RenewRequest. A relay answers when it has the answer of its own upstream instance. */
+/** Reply to a RenewRequest. A relay replies once it has the reply of its own upstream instance. */
 struct RenewReply
 {
     std::uint64_t sequence = 0;
     std::uint64_t incarnation = 0; /**< Incarnation of the requester. */
     LeaderStamp stamp;
-    Duration remaining{}; /**< Freshness lease, from the requester's send time. Zero: not renewed. */
-    std::vector<ProcessId> covered; /**< Followers of the requester that the lease may be passed on to. */
-    std::vector<PoolRenewal> pools; /**< Renewed pool leases; they run from the owner's send time for the pool lease time. */
+    Duration remaining{}; /**< Length of the freshness lease, from the requester's send time. Zero: not renewed. */
+    std::vector<ProcessId> covered; /**< Followers of the requester to which the lease also applies. */
+    std::vector<PoolRenewal> pools; /**< Renewed pool leases, each valid for the pool lease time from the owner's send time. */
 
     friend bool operator==(const RenewReply &, const RenewReply &) = default;
 };
 
-/** Reports applied log indexes without waiting for the next renewal. */
+/** Reports applied log indexes between renewals. */
 struct Confirm
 {
     std::vector<FollowerEntry> entries;
-    bool leaving = false; /**< The instances stop and will not use their leases again. */
+    bool leaving = false; /**< The instances shut down and will not use their leases again. */
 
     friend bool operator==(const Confirm &, const Confirm &) = default;
 };
--- a/include/mimosahollow/membership/renewalstate.h
+++ b/include/mimosahollow/membership/renewalstate.h
@@ -11,16 +11,16 @@
 
 namespace mimosahollow::membership {
 
-/** A request that the instance sent upstream and whose reply may still come. */
+/** A renewal request sent upstream that may still be answered. */
 struct SentRenewal
 {
     std::uint64_t sequence = 0;
     TimePoint sentAt{};
-    std::vector<RenewRequest> downstream; /**< Requests of direct followers that it contains; the reply answers them too. */
+    std::vector<RenewRequest> downstream; /**< Requests of direct followers merged into it; the reply answers them too. */
 };
 
 /**
- * Renewals of one instance, follower or relay. A follower is a relay without followers of its own.
+ * Lease renewals of one instance. A follower is treated as a relay without followers.
  *
  * Owned by the control thread.
  */
@@ -36,33 +36,33 @@
     std::map<InstanceId, RenewRequest> downstream; /**< Newest request of each direct follower since the last request upstream. */
 };
 
-/** What a reply from upstream leads to. */
+/** Result of a reply from upstream. */
 struct RenewalOutcome
 {
-    std::vector<PoolRenewal> ownPools; /**< Renewed leases of this instance. */
-    TimePoint ownPoolsLeaseStart = neverTime; /**< The leases run from here for the pool lease time. */
-    std::vector<std::pair<InstanceId, RenewReply>> replies; /**< To direct followers. */
+    std::vector<PoolRenewal> ownPools; /**< Renewed pool leases of this instance. */
+    TimePoint ownPoolsLeaseStart = neverTime; /**< Start of the leases of ownPools, each valid for the pool lease time. */
+    std::vector<std::pair<InstanceId, RenewReply>> replies; /**< Replies to forward to direct followers. */
 };
 
 /**
- * Time between two renewal requests of an instance: a tenth of the freshness time, but at least 0.1 s and at most 1 s.
- * Pool owners and relays, which carry the requests of owners, ask at least every 0.5 s.
+ * Interval between renewal requests: a tenth of the freshness time, at least 0.1 s and at most 1 s. For pool owners, and
+ * for relays because they forward the requests of owners, it is at most 0.5 s.
  */
 [[nodiscard]] Duration renewalInterval(Duration freshnessTime, bool ownsPoolsOrIsRelay) noexcept;
 
 /** Builds the next request upstream. @p ownPools are the pools that this instance owns. */
 [[nodiscard]] RenewRequest makeRenewRequest(RenewalState &state, std::span<const PoolRenewal> ownPools, TimePoint now);
 
-/** Keeps the request of a direct follower for the next request upstream, whose reply answers it. */
+/** Stores the request of a direct follower, to be merged into the next request upstream. */
 void onDownstreamRequest(RenewalState &state, RenewRequest request);
 
 /** Handles the reply of the upstream instance. */
 [[nodiscard]] RenewalOutcome onRenewReply(RenewalState &state, const RenewReply &reply, TimePoint now);
 
-/** Collects what a relay passes upstream after an index was applied here or a follower confirmed one. */
+/** Builds the confirmation to send upstream after this instance applied an index or a follower confirmed one. */
 [[nodiscard]] Confirm makeConfirm(const RenewalState &state, std::span<const FollowerEntry> followers);
 
-/** Whether the instance may serve routes that need a key. */
+/** Whether the freshness lease is valid, so that the instance may serve routes that require an API key. */
 [[nodiscard]] bool isFresh(const RenewalState &state, TimePoint now) noexcept;
 
 } // namespace mimosahollow::membership
