--- a/include/mimosahollow/admission/bucketowner.h
+++ b/include/mimosahollow/admission/bucketowner.h
@@ -18,10 +18,10 @@
     Tokens burst = 0; /**< Fleet-wide. */
     Tokens level = 0;
     Tokens outstanding = 0; /**< Handed out and not yet reported as spent or returned. */
-    Tokens expected = 0; /**< Room kept for transfers that were asked for; what is under way is never more. */
+    Tokens reservedForTransfers = 0; /**< Room kept for transfers that were asked for; what is under way is never more. */
     Tokens refundsCredited = 0; /**< Total; a refund beyond the capacity is lost. */
-    TimePoint filledAt{};
-    bool waiting = false; /**< Some holder has an unmet need. */
+    TimePoint refilledAt{};
+    bool hasUnmetNeeds = false; /**< Some holder has an unmet need. */
 };
 
 /** One account of a session as the owner knows it. */
@@ -56,10 +56,10 @@
     DomainId domain{};
     InstanceId owner{};
     FencingNumber epoch = 0;
-    std::uint64_t askSequence = 0; /**< Of the last request sent. */
+    std::uint64_t requestSequence = 0; /**< Of the last request sent. */
     std::uint64_t answeredSequence = 0; /**< Of the last request of the peer that was answered. */
-    TimePoint askedAt{};
-    TimePoint silentUntil{}; /**< Not asked before; set when a request stays without an answer. */
+    TimePoint requestedAt{};
+    TimePoint backoffUntil{}; /**< Not asked before; set when a request stays without an answer. */
     std::vector<TransferWish> pending; /**< Of the request without an answer. */
 };
 
@@ -68,7 +68,7 @@
 {
     DomainId domain{};
     FencingNumber epoch = 0; /**< 0: this instance is not the owner. */
-    TimePoint startsAt{}; /**< Before this time the old owner's leases may be valid, and nothing is handed out. */
+    TimePoint grantsStartAt{}; /**< Before this time the old owner's leases may be valid, and nothing is handed out. */
     double share = 0; /**< In force. */
     double raisedShare = 0; /**< Takes force at raiseAt when it is above `share`. */
     TimePoint raiseAt{};
@@ -92,7 +92,7 @@
         Tokens outstanding = 0;
     };
     DomainId domain{};
-    Duration untilStart{}; /**< Rest of the old owner's own wait for leases of its predecessor. */
+    Duration untilGrantsStart{}; /**< Rest of the old owner's own wait for leases of its predecessor. */
     std::vector<Item> items;
 };
 
--- a/include/mimosahollow/admission/quotaleases.h
+++ b/include/mimosahollow/admission/quotaleases.h
@@ -18,16 +18,16 @@
     LeaseUse use;
     LeaseUse sent; /**< As last sent. */
     Tokens granted = 0;
-    Tokens askedNeed = 0; /**< Total grant that the last sent need asks for. */
-    Tokens askedTarget = 0; /**< Total grant that the last sent target asks for. */
-    TimePoint askedAt{}; /**< Last request that contained the account. */
-    Tokens extra = 0; /**< Wanted for waiting calls on top of what is held. */
+    Tokens requestedNeed = 0; /**< Total grant that the last sent need asks for. */
+    Tokens requestedTarget = 0; /**< Total grant that the last sent target asks for. */
+    TimePoint requestedAt{}; /**< Last request that contained the account. */
+    Tokens extraNeed = 0; /**< Wanted for waiting calls on top of what is held. */
     Tokens reachable = 0; /**< As last answered; without what this holder has. */
-    Tokens givenBackThen = 0; /**< Returned and refunded at that time; what was given back since can be reached again. */
+    Tokens givenBackAtAnswer = 0; /**< Returned and refunded at that time; what was given back since can be reached again. */
     Tokens unmet = 0; /**< As last answered. */
     TimePoint answeredAt{};
     bool answered = false;
-    bool listed = false; /**< In LeaseSource::changed. */
+    bool queued = false; /**< In LeaseSource::changed. */
 };
 
 /** The quota leases of this instance from one bucket owner. */
@@ -44,7 +44,7 @@
     TimePoint sentAt{}; /**< Last message. */
     TimePoint requestedAt{}; /**< Last request. */
     TimePoint unansweredSince{}; /**< First request after the last answer. */
-    bool asking = false; /**< A request is without an answer. */
+    bool awaitingAnswer = false; /**< A request is without an answer. */
     std::deque<std::pair<std::uint64_t, TimePoint>> sendTimes; /**< Sequence and time of recent requests. */
     std::unordered_map<AccountId, Lease> leases;
     std::vector<AccountId> changed; /**< Accounts with something to tell. */
@@ -64,12 +64,12 @@
     Tokens rate = 0;
     Tokens burst = 0;
     double demand = 0; /**< Tokens per second, exponentially decayed. */
-    TimePoint demandAt{};
-    Tokens recentCost = 0; /**< Of the last call; asked ahead at least. */
+    TimePoint demandUpdatedAt{};
+    Tokens lastCost = 0; /**< Of the last call; asked ahead at least. */
     Tokens pendingRefund = 0; /**< Not yet sent in any session. */
     std::uint64_t priority = 0; /**< Of the first waiting call; 0: none waits. */
-    TimePoint shortUntil{}; /**< The home bucket was short; until then tokens are asked ahead in other failure domains too. */
-    Version loweredAt = 0; /**< Last configuration that lowered the capacity. */
+    TimePoint shortageUntil{}; /**< The home bucket was short; until then tokens are asked ahead in other failure domains too. */
+    Version loweredInVersion = 0; /**< Last configuration that lowered the capacity. */
     std::deque<WaitingCall> waiting; /**< First come, first served. */
 };
 
@@ -83,7 +83,7 @@
     Version configuration = 0;
     std::vector<LeaseSource> sources; /**< The home domain's current owner first. */
     std::unordered_map<AccountId, LeaseAccount> accounts;
-    std::vector<AccountId> active; /**< Accounts with waiting calls. */
+    std::vector<AccountId> waitingAccounts; /**< Accounts with waiting calls. */
 };
 
 struct OutgoingTokenMessage
--- a/include/mimosahollow/allowance/tokenwallet.h
+++ b/include/mimosahollow/allowance/quotacache.h
@@ -10,7 +10,7 @@
 
 namespace mimosahollow::allowance {
 
-struct WalletOptions
+struct QuotaCacheOptions
 {
     /** Held tokens can be used in the window after the one in which they were granted; the tolerance of 10% of a window of 8 s bounds them. */
     Duration reserve = milliseconds(400);
@@ -28,41 +28,41 @@
 };
 
 /** Granted tokens of one organisation at this entry instance. */
-struct Purse
+struct CachedQuota
 {
     double tokens = 0;
-    TimePoint granted{};
+    TimePoint grantedAt{};
     double demandPerSecond = 0; /**< Of all calls, also those that were refused. */
-    TimePoint measured{};
+    TimePoint demandUpdatedAt{};
     std::deque<Spending> spent; /**< Newest last. */
     double expired = 0; /**< Unspent tokens for the leader to take back. */
-    double missing = 0; /**< Tokens that waiting calls lack. */
+    double shortfall = 0; /**< Tokens that waiting calls lack. */
 };
 
-struct TokenWallet
+struct QuotaCache
 {
-    WalletOptions options;
-    std::map<std::string, Purse, std::less<>> purses;
+    QuotaCacheOptions options;
+    std::map<std::string, CachedQuota, std::less<>> quotas;
 };
 
 /** Counts a call of @p organisation into its demand. Call once for each call. */
-void noteDemand(TokenWallet &wallet, std::string_view organisation, double tokens, TimePoint now);
+void recordDemand(QuotaCache &cache, std::string_view organisation, double tokens, TimePoint now);
 
 /** Takes @p tokens for a call. Returns false, and takes nothing, when too few are held. */
-[[nodiscard]] bool spend(TokenWallet &wallet, std::string_view organisation, double tokens, TimePoint now);
+[[nodiscard]] bool spend(QuotaCache &cache, std::string_view organisation, double tokens, TimePoint now);
 
 /** Gives back tokens of a call that has not run. */
-void giveBack(TokenWallet &wallet, std::string_view organisation, double tokens);
+void refund(QuotaCache &cache, std::string_view organisation, double tokens);
 
-void deposit(TokenWallet &wallet, std::string_view organisation, double tokens, TimePoint now);
+void addGrant(QuotaCache &cache, std::string_view organisation, double tokens, TimePoint now);
 
 /** Ends tokens that were held for too long. Returns what the leader is to take back. */
-[[nodiscard]] double takeExpired(const TokenWallet &wallet, Purse &purse, TimePoint now);
+[[nodiscard]] double takeExpired(const QuotaCache &cache, CachedQuota &quota, TimePoint now);
 
 /** What @p purse has spent within the history, and holds, for a leader that does not know it. */
-[[nodiscard]] std::vector<Spending> history(const TokenWallet &wallet, const Purse &purse, TimePoint now);
+[[nodiscard]] std::vector<Spending> spendingHistory(const QuotaCache &cache, const CachedQuota &quota, TimePoint now);
 
 /** Tokens to ask the leader for. */
-[[nodiscard]] double wish(const TokenWallet &wallet, const Purse &purse, TimePoint now);
+[[nodiscard]] double tokensToRequest(const QuotaCache &cache, const CachedQuota &quota, TimePoint now);
 
 } // namespace mimosahollow::allowance
--- a/include/mimosahollow/allowance/tokenbank.h
+++ b/include/mimosahollow/allowance/ratelimiter.h
@@ -13,11 +13,11 @@
 
 namespace mimosahollow::allowance {
 
-struct BankOptions
+struct RateLimiterOptions
 {
     Duration window = seconds(8); /**< In any span of this length, an organisation gets its rate times the span, and its burst. */
     /** A new leader grants nothing before: the entry instances tell it meanwhile what they have spent. Several reports long. */
-    Duration handover = milliseconds(700);
+    Duration takeoverDelay = milliseconds(700);
     Duration step = milliseconds(100); /**< Grants are kept in sums of this length; each adds to the span that they count in. */
 };
 
@@ -29,7 +29,7 @@
 };
 
 /** What one organisation was granted within the last window. */
-struct BankAccount
+struct RateLimitAccount
 {
     double ratePerSecond = 0;
     double burst = 0;
@@ -43,23 +43,23 @@
  * Answers an organisation that asks for more than its rate for long: a sliding window gives it all that it may have, where a
  * bucket that has run empty gives the burst only once.
  */
-struct TokenBank
+struct RateLimiter
 {
-    BankOptions options;
-    TimePoint opensAt{}; /**< Nothing is granted before. */
-    std::map<std::string, BankAccount, std::less<>> accounts;
+    RateLimiterOptions options;
+    TimePoint grantsStartAt{}; /**< Nothing is granted before. */
+    std::map<std::string, RateLimitAccount, std::less<>> accounts;
 };
 
 /** Takes over the rates of @p catalog. */
-void configure(TokenBank &bank, const catalog::Catalog &catalog);
+void configure(RateLimiter &limiter, const catalog::Catalog &catalog);
 
 /** An entry instance returns tokens that it has not spent. */
-void takeBack(TokenBank &bank, std::string_view organisation, double tokens);
+void returnTokens(RateLimiter &limiter, std::string_view organisation, double tokens);
 
 /** An entry instance has spent @p tokens of a grant of an earlier leader, @p age ago, or holds them still. */
-void notePast(TokenBank &bank, std::string_view organisation, double tokens, Duration age, TimePoint now);
+void recordPastUse(RateLimiter &limiter, std::string_view organisation, double tokens, Duration age, TimePoint now);
 
 /** Grants up to @p wish tokens. Returns 0 for an organisation without an account. */
-[[nodiscard]] double grant(TokenBank &bank, std::string_view organisation, double wish, TimePoint now);
+[[nodiscard]] double grant(RateLimiter &limiter, std::string_view organisation, double requested, TimePoint now);
 
 } // namespace mimosahollow::allowance
--- a/src/admission/bucketinternal.h
+++ b/src/admission/bucketinternal.h
@@ -18,7 +18,7 @@
 void refill(const BucketOwner &owner, Bucket &bucket, TimePoint now);
 
 /** Makes the next sendChanges() tell the holder about the account. */
-void noteChange(BucketOwner &owner, std::uint64_t process, AccountId account, HolderAccount &lease);
+void markChanged(BucketOwner &owner, std::uint64_t process, AccountId account, HolderAccount &lease);
 
 /** Serves a wish that has just arrived: needs of others come first, tokens asked ahead last. */
 void serveRequest(BucketOwner &owner, BucketEntry &entry, HolderAccount &lease, TimePoint now);
@@ -27,7 +27,7 @@
 void serveWaiting(BucketOwner &owner, BucketEntry &entry, bool atOnce, TimePoint now);
 
 /** Ends unanswered requests and asks the next peer for a transfer. */
-void balance(BucketOwner &owner, TimePoint now, BucketActions &out);
+void requestTransfers(BucketOwner &owner, TimePoint now, BucketActions &out);
 
 /** Adds one grant for each holder with changed accounts; @p requester gets one in any case. */
 void sendChanges(BucketOwner &owner, const Holder *requester, std::vector<TokenGrant> &out);
--- a/src/admission/bucketowner.cpp
+++ b/src/admission/bucketowner.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // A holder that was silent for longer than any request may run has no refund left to report.
-constexpr Duration forgetHolderAfter = seconds(600);
+constexpr Duration holderRetention = seconds(600);
 
-void settleShare(BucketOwner &owner, TimePoint now)
+void applyRaisedShare(BucketOwner &owner, TimePoint now)
 {
     if (owner.raisedShare <= owner.share || now < owner.raiseAt) {
         return;
@@ -36,7 +36,7 @@
 
 void applyLimits(BucketOwner &owner, AccountId account, Tokens rate, Tokens burst, double oldShare, TimePoint now)
 {
-    Bucket &bucket = owner.buckets.try_emplace(account, Bucket{.filledAt = std::max(now, owner.startsAt)}).first->second;
+    Bucket &bucket = owner.buckets.try_emplace(account, Bucket{.refilledAt = std::max(now, owner.grantsStartAt)}).first->second;
     const Tokens oldCapacity = bucket.burst * oldShare;
     bucket.rate = rate;
     bucket.burst = burst;
@@ -48,15 +48,15 @@
 }
 
 /** Replies to requests of an earlier ownership carry another epoch and are not accepted. */
-void forgetTransfers(BucketOwner &owner)
+void resetTransfers(BucketOwner &owner)
 {
     for (BucketPeer &peer : owner.peers) {
         peer.pending.clear();
-        peer.askSequence = 0;
+        peer.requestSequence = 0;
         peer.answeredSequence = 0;
-        peer.silentUntil = {};
+        peer.backoffUntil = {};
     }
-    owner.transferAt = owner.startsAt;
+    owner.transferAt = owner.grantsStartAt;
 }
 
 void endSession(BucketOwner &owner, Holder &holder, TimePoint now)
@@ -103,13 +103,13 @@
     const Tokens returned = std::clamp(use.returned - known.returned, 0.0, std::max(0.0, held(lease)));
     known.returned += returned;
     bucket.outstanding = std::max(0.0, bucket.outstanding - spent - returned);
-    const Tokens room = std::max(0.0, capacity(owner, bucket) - bucket.outstanding - bucket.expected - bucket.level);
+    const Tokens room = std::max(0.0, capacity(owner, bucket) - bucket.outstanding - bucket.reservedForTransfers - bucket.level);
     // Above the capacity only after it was lowered; the returned tokens are lost then.
     bucket.level += std::min(returned, room);
     const Tokens refunded = std::max(0.0, use.refunded - known.refunded);
-    const Tokens credited = std::min(refunded, std::max(0.0, capacity(owner, bucket) - bucket.outstanding - bucket.expected - bucket.level));
+    const Tokens credited = std::min(refunded, std::max(0.0, capacity(owner, bucket) - bucket.outstanding - bucket.reservedForTransfers - bucket.level));
     known.refunded += refunded;
-    if (now < owner.startsAt) {
+    if (now < owner.grantsStartAt) {
         // Leases of the old owner may still fill the capacity; the refund is lost.
         return;
     }
@@ -131,20 +131,20 @@
 
 void refill(const BucketOwner &owner, Bucket &bucket, TimePoint now)
 {
-    if (now <= bucket.filledAt) {
+    if (now <= bucket.refilledAt) {
         return;
     }
-    const Tokens room = std::max(0.0, capacity(owner, bucket) - bucket.outstanding - bucket.expected);
+    const Tokens room = std::max(0.0, capacity(owner, bucket) - bucket.outstanding - bucket.reservedForTransfers);
     if (owner.epoch != 0) {
-        bucket.level += bucket.rate * owner.share * toSeconds(now - bucket.filledAt);
+        bucket.level += bucket.rate * owner.share * toSeconds(now - bucket.refilledAt);
     }
     bucket.level = std::min(bucket.level, room);
-    bucket.filledAt = now;
+    bucket.refilledAt = now;
 }
 
 void applyConfiguration(BucketOwner &owner, const control::Configuration &configuration, TimePoint now)
 {
-    settleShare(owner, now);
+    applyRaisedShare(owner, now);
     for (auto &[account, bucket] : owner.buckets) {
         refill(owner, bucket, now);
     }
@@ -171,32 +171,32 @@
 void startOwnership(BucketOwner &owner, FencingNumber epoch, TimePoint oldLeaseEnd, TimePoint now)
 {
     owner.epoch = epoch;
-    owner.startsAt = std::max(now, oldLeaseEnd + quotaLease + quotaLeaseMargin);
+    owner.grantsStartAt = std::max(now, oldLeaseEnd + quotaLease + quotaLeaseMargin);
     owner.holders.clear();
-    forgetTransfers(owner);
+    resetTransfers(owner);
     for (auto &[account, bucket] : owner.buckets) {
         bucket.level = 0;
         bucket.outstanding = 0;
-        bucket.expected = 0;
-        bucket.waiting = false;
-        bucket.filledAt = owner.startsAt;
+        bucket.reservedForTransfers = 0;
+        bucket.hasUnmetNeeds = false;
+        bucket.refilledAt = owner.grantsStartAt;
     }
 }
 
 void startOwnership(BucketOwner &owner, FencingNumber epoch, const BucketHandover &handover, TimePoint now)
 {
-    startOwnership(owner, epoch, now + handover.untilStart - quotaLease - quotaLeaseMargin, now);
+    startOwnership(owner, epoch, now + handover.untilGrantsStart - quotaLease - quotaLeaseMargin, now);
     // Leases of the old owner run out at their holders; until then process number 0 stands for all of them.
-    Holder &rest = owner.holders[0];
-    rest.open = true;
-    rest.expiresAt = now + quotaLease + quotaLeaseMargin;
+    Holder &predecessorLeases = owner.holders[0];
+    predecessorLeases.open = true;
+    predecessorLeases.expiresAt = now + quotaLease + quotaLeaseMargin;
     for (const BucketHandover::Item &item : handover.items) {
         const auto found = owner.buckets.find(item.account);
         if (found == owner.buckets.end()) {
             continue;
         }
         Bucket &bucket = found->second;
-        rest.accounts[item.account].granted = item.outstanding;
+        predecessorLeases.accounts[item.account].granted = item.outstanding;
         bucket.outstanding = item.outstanding;
         bucket.level = std::min(item.level, std::max(0.0, capacity(owner, bucket) - item.outstanding));
     }
@@ -204,27 +204,27 @@
 
 BucketHandover stopOwnership(BucketOwner &owner, TimePoint now)
 {
-    settleShare(owner, now);
+    applyRaisedShare(owner, now);
     BucketHandover handover;
     handover.domain = owner.domain;
-    handover.untilStart = std::max(Duration::zero(), owner.startsAt - now);
+    handover.untilGrantsStart = std::max(Duration::zero(), owner.grantsStartAt - now);
     for (auto &[account, bucket] : owner.buckets) {
         refill(owner, bucket, now);
         handover.items.push_back({account, bucket.level, bucket.outstanding});
         bucket.level = 0;
         bucket.outstanding = 0;
-        bucket.expected = 0;
-        bucket.waiting = false;
+        bucket.reservedForTransfers = 0;
+        bucket.hasUnmetNeeds = false;
     }
     owner.holders.clear();
-    forgetTransfers(owner);
+    resetTransfers(owner);
     owner.epoch = 0;
     return handover;
 }
 
 void handle(BucketOwner &owner, const TokenRequest &request, TimePoint now, BucketActions &out)
 {
-    settleShare(owner, now);
+    applyRaisedShare(owner, now);
     Holder *holder = accept(owner, request.session, now);
     if (holder == nullptr) {
         return;
@@ -242,7 +242,7 @@
         const LeaseUse known = lease.wish.use;
         lease.wish = wish;
         lease.wish.use = known;
-        noteChange(owner, request.session.process, wish.use.account, lease);
+        markChanged(owner, request.session.process, wish.use.account, lease);
         serveRequest(owner, *found, lease, now);
     }
     sendChanges(owner, holder, out.grants);
@@ -250,7 +250,7 @@
 
 void handle(BucketOwner &owner, const TokenReport &report, TimePoint now, BucketActions &out)
 {
-    settleShare(owner, now);
+    applyRaisedShare(owner, now);
     Holder *holder = accept(owner, report.session, now);
     if (holder == nullptr) {
         return;
@@ -269,7 +269,7 @@
     }
     for (const LeaseUse &use : report.uses) {
         const auto found = owner.buckets.find(use.account);
-        if (found != owner.buckets.end() && found->second.waiting) {
+        if (found != owner.buckets.end() && found->second.hasUnmetNeeds) {
             serveWaiting(owner, *found, true, now);
         }
     }
@@ -278,7 +278,7 @@
 
 void tick(BucketOwner &owner, TimePoint now, BucketActions &out)
 {
-    settleShare(owner, now);
+    applyRaisedShare(owner, now);
     if (owner.epoch == 0) {
         return;
     }
@@ -286,16 +286,16 @@
         if (holder->second.open && now >= holder->second.expiresAt) {
             endSession(owner, holder->second, now);
         }
-        holder = !holder->second.open && now >= holder->second.expiresAt + forgetHolderAfter ? owner.holders.erase(holder) : std::next(holder);
+        holder = !holder->second.open && now >= holder->second.expiresAt + holderRetention ? owner.holders.erase(holder) : std::next(holder);
     }
     for (auto &entry : owner.buckets) {
-        if (entry.second.waiting) {
+        if (entry.second.hasUnmetNeeds) {
             refill(owner, entry.second, now);
             serveWaiting(owner, entry, false, now);
         }
     }
     sendChanges(owner, nullptr, out.grants);
-    balance(owner, now, out);
+    requestTransfers(owner, now, out);
 }
 
 } // namespace mimosahollow::admission
--- a/src/admission/bucketserve.cpp
+++ b/src/admission/bucketserve.cpp
@@ -15,9 +15,9 @@
 
 // A holder of little is asked less often, as its tokens hardly shorten the wait.
 constexpr Duration smallRecallInterval = milliseconds(400);
-constexpr double smallPart = 0.05;
+constexpr double smallHoldingPart = 0.05;
 
-void give(Bucket &bucket, HolderAccount &lease, Tokens amount)
+void grantTokens(Bucket &bucket, HolderAccount &lease, Tokens amount)
 {
     lease.granted += amount;
     bucket.level -= amount;
@@ -45,19 +45,19 @@
             continue;
         }
         const bool waitsLonger = unmetNeed(lease->second) > 0 && lease->second.wish.priority > first.priority;
-        const bool small = held(lease->second) < smallPart * unmetNeed(*first.lease);
+        const bool small = held(lease->second) < smallHoldingPart * unmetNeed(*first.lease);
         if (waitsLonger || now < lease->second.recalledAt + (small ? smallRecallInterval : recallInterval)) {
             continue;
         }
         lease->second.recall = first.priority;
         lease->second.recalledAt = now;
-        noteChange(owner, process, account, lease->second);
+        markChanged(owner, process, account, lease->second);
     }
 }
 
 } // namespace
 
-void noteChange(BucketOwner &owner, std::uint64_t process, AccountId account, HolderAccount &lease)
+void markChanged(BucketOwner &owner, std::uint64_t process, AccountId account, HolderAccount &lease)
 {
     if (!lease.changed) {
         lease.changed = true;
@@ -68,16 +68,16 @@
 void serveRequest(BucketOwner &owner, BucketEntry &entry, HolderAccount &lease, TimePoint now)
 {
     Bucket &bucket = entry.second;
-    if (bucket.waiting) {
+    if (bucket.hasUnmetNeeds) {
         serveWaiting(owner, entry, true, now);
     }
-    if (!bucket.waiting) {
+    if (!bucket.hasUnmetNeeds) {
         const Tokens wanted = std::max(lease.wish.target, lease.wish.need) - held(lease);
         if (wanted > 0) {
-            give(bucket, lease, std::min(wanted, bucket.level));
+            grantTokens(bucket, lease, std::min(wanted, bucket.level));
         }
         if (unmetNeed(lease) > 0) {
-            bucket.waiting = true;
+            bucket.hasUnmetNeeds = true;
             serveWaiting(owner, entry, true, now);
         }
     }
@@ -97,16 +97,16 @@
     std::sort(waiting.begin(), waiting.end(), [](const WaitingHolder &left, const WaitingHolder &right) {
         return left.priority != right.priority ? left.priority > right.priority : left.process > right.process;
     });
-    bucket.waiting = false;
+    bucket.hasUnmetNeeds = false;
     for (const WaitingHolder &next : waiting) {
         const Tokens unmet = unmetNeed(*next.lease);
         if (bucket.level > tokenTolerance && (atOnce || now >= next.lease->pushedAt + pushInterval)) {
-            give(bucket, *next.lease, std::min(bucket.level, unmet));
+            grantTokens(bucket, *next.lease, std::min(bucket.level, unmet));
             next.lease->pushedAt = now;
-            noteChange(owner, next.process, account, *next.lease);
+            markChanged(owner, next.process, account, *next.lease);
         }
         if (unmetNeed(*next.lease) > 0) {
-            bucket.waiting = true;
+            bucket.hasUnmetNeeds = true;
             recall(owner, account, next, now);
             return;
         }
--- a/src/admission/buckettransfer.cpp
+++ b/src/admission/buckettransfer.cpp
@@ -13,18 +13,18 @@
 constexpr Duration transferTimeout = milliseconds(250);
 
 // Spacing of requests to a peer that did not answer.
-constexpr Duration silentPause = milliseconds(1000);
+constexpr Duration unansweredBackoff = milliseconds(1000);
 
 // A bucket that lacks less than this part of its capacity does not ask.
-constexpr double balancedPart = 0.02;
+constexpr double balanceTolerance = 0.02;
 
-void endPending(BucketOwner &owner, BucketPeer &peer, TimePoint now)
+void releaseReservations(BucketOwner &owner, BucketPeer &peer, TimePoint now)
 {
     for (const TransferWish &wish : peer.pending) {
         const auto bucket = owner.buckets.find(wish.account);
         if (bucket != owner.buckets.end()) {
             refill(owner, bucket->second, now);
-            bucket->second.expected = std::max(0.0, bucket->second.expected - wish.room);
+            bucket->second.reservedForTransfers = std::max(0.0, bucket->second.reservedForTransfers - wish.room);
         }
     }
     peer.pending.clear();
@@ -34,25 +34,25 @@
 Tokens roomOf(const BucketOwner &owner, const Bucket &bucket)
 {
     const Tokens fill = bucket.rate * owner.share * toSeconds(transferTimeout);
-    return capacity(owner, bucket) - bucket.level - bucket.outstanding - bucket.expected - fill;
+    return capacity(owner, bucket) - bucket.level - bucket.outstanding - bucket.reservedForTransfers - fill;
 }
 
-void ask(BucketOwner &owner, BucketPeer &peer, TimePoint now, BucketActions &out)
+void requestFrom(BucketOwner &owner, BucketPeer &peer, TimePoint now, BucketActions &out)
 {
     for (auto &[account, bucket] : owner.buckets) {
         refill(owner, bucket, now);
         const Tokens room = roomOf(owner, bucket);
-        const Tokens whole = capacity(owner, bucket);
-        if (whole > 0 && room > balancedPart * whole) {
-            bucket.expected += room;
-            peer.pending.push_back({account, bucket.level, whole, room});
+        const Tokens bucketCapacity = capacity(owner, bucket);
+        if (bucketCapacity > 0 && room > balanceTolerance * bucketCapacity) {
+            bucket.reservedForTransfers += room;
+            peer.pending.push_back({account, bucket.level, bucketCapacity, room});
         }
     }
     if (peer.pending.empty()) {
         return;
     }
-    peer.askedAt = now;
-    const TransferHeader header{owner.domain, peer.domain, owner.self, owner.epoch, peer.epoch, ++peer.askSequence};
+    peer.requestedAt = now;
+    const TransferHeader header{owner.domain, peer.domain, owner.self, owner.epoch, peer.epoch, ++peer.requestSequence};
     out.transfers.push_back({peer.owner, TransferRequest{header, peer.pending}});
 }
 
@@ -65,7 +65,7 @@
     return peer;
 }
 
-BucketPeer *find(BucketOwner &owner, const TransferHeader &header)
+BucketPeer *findPeer(BucketOwner &owner, const TransferHeader &header)
 {
     if (owner.epoch == 0 || header.toEpoch != owner.epoch || header.to != owner.domain) {
         return nullptr;
@@ -79,12 +79,12 @@
 /** Part of the level that makes both buckets equally full. */
 Tokens surplus(const BucketOwner &owner, const Bucket &bucket, const TransferWish &wish)
 {
-    const Tokens whole = capacity(owner, bucket);
-    if (bucket.waiting || whole + wish.capacity <= 0) {
+    const Tokens bucketCapacity = capacity(owner, bucket);
+    if (bucket.hasUnmetNeeds || bucketCapacity + wish.capacity <= 0) {
         return 0;
     }
-    const double fullness = (bucket.level + wish.level) / (whole + wish.capacity);
-    return std::clamp(bucket.level - fullness * whole, 0.0, std::min(wish.room, bucket.level));
+    const double fillRatio = (bucket.level + wish.level) / (bucketCapacity + wish.capacity);
+    return std::clamp(bucket.level - fillRatio * bucketCapacity, 0.0, std::min(wish.room, bucket.level));
 }
 
 } // namespace
@@ -97,7 +97,7 @@
         }
         if (epoch > peer.epoch) {
             // A reply of the old owner is no longer accepted, so that its room is free again.
-            endPending(owner, peer, now);
+            releaseReservations(owner, peer, now);
             peer = newPeer(domain, instance, epoch);
         }
         return;
@@ -105,22 +105,22 @@
     owner.peers.push_back(newPeer(domain, instance, epoch));
 }
 
-void balance(BucketOwner &owner, TimePoint now, BucketActions &out)
+void requestTransfers(BucketOwner &owner, TimePoint now, BucketActions &out)
 {
     for (BucketPeer &peer : owner.peers) {
-        if (!peer.pending.empty() && now >= peer.askedAt + transferTimeout) {
-            endPending(owner, peer, now);
-            peer.silentUntil = now + silentPause;
+        if (!peer.pending.empty() && now >= peer.requestedAt + transferTimeout) {
+            releaseReservations(owner, peer, now);
+            peer.backoffUntil = now + unansweredBackoff;
         }
     }
-    if (owner.peers.empty() || now < owner.transferAt || now < owner.startsAt) {
+    if (owner.peers.empty() || now < owner.transferAt || now < owner.grantsStartAt) {
         return;
     }
     owner.transferAt = now + transferInterval;
     for (std::size_t i = 0; i < owner.peers.size(); ++i) {
         BucketPeer &peer = owner.peers[owner.nextPeer++ % owner.peers.size()];
-        if (peer.pending.empty() && now >= peer.silentUntil) {
-            ask(owner, peer, now, out);
+        if (peer.pending.empty() && now >= peer.backoffUntil) {
+            requestFrom(owner, peer, now, out);
             return;
         }
     }
@@ -128,8 +128,8 @@
 
 void handle(BucketOwner &owner, const TransferRequest &request, TimePoint now, BucketActions &out)
 {
-    BucketPeer *peer = find(owner, request.header);
-    if (peer == nullptr || request.header.sequence <= peer->answeredSequence || now < owner.startsAt) {
+    BucketPeer *peer = findPeer(owner, request.header);
+    if (peer == nullptr || request.header.sequence <= peer->answeredSequence || now < owner.grantsStartAt) {
         return;
     }
     peer->answeredSequence = request.header.sequence;
@@ -153,24 +153,24 @@
 
 void handle(BucketOwner &owner, const TransferReply &reply, TimePoint now, BucketActions &out)
 {
-    BucketPeer *peer = find(owner, reply.header);
-    if (peer == nullptr || peer->pending.empty() || reply.header.sequence != peer->askSequence || now >= peer->askedAt + transferTimeout) {
+    BucketPeer *peer = findPeer(owner, reply.header);
+    if (peer == nullptr || peer->pending.empty() || reply.header.sequence != peer->requestSequence || now >= peer->requestedAt + transferTimeout) {
         return;
     }
-    const std::vector<TransferWish> asked = peer->pending;
-    endPending(owner, *peer, now);
+    const std::vector<TransferWish> requested = peer->pending;
+    releaseReservations(owner, *peer, now);
     for (const TransferItem &item : reply.items) {
         const auto found = owner.buckets.find(item.account);
-        const auto wish = std::find_if(asked.begin(), asked.end(), [&item](const TransferWish &candidate) {
+        const auto wish = std::find_if(requested.begin(), requested.end(), [&item](const TransferWish &candidate) {
             return candidate.account == item.account;
         });
-        if (found == owner.buckets.end() || wish == asked.end()) {
+        if (found == owner.buckets.end() || wish == requested.end()) {
             continue;
         }
         Bucket &bucket = found->second;
-        const Tokens room = std::max(0.0, capacity(owner, bucket) - bucket.level - bucket.outstanding - bucket.expected);
+        const Tokens room = std::max(0.0, capacity(owner, bucket) - bucket.level - bucket.outstanding - bucket.reservedForTransfers);
         bucket.level += std::min({item.amount, wish->room, room});
-        if (bucket.waiting) {
+        if (bucket.hasUnmetNeeds) {
             serveWaiting(owner, *found, true, now);
         }
     }
--- a/src/admission/keytable.cpp
+++ b/src/admission/keytable.cpp
@@ -12,8 +12,8 @@
 // Hashes are uniform, so the leading bytes select a bucket. They are known to nobody without the fleet secret.
 std::uint32_t bucketOf(const KeyHash &hash, std::size_t buckets) noexcept
 {
-    const std::uint32_t lead = static_cast<std::uint32_t>(hash[0]) << 16U | static_cast<std::uint32_t>(hash[1]) << 8U | hash[2];
-    return lead & static_cast<std::uint32_t>(buckets - 1);
+    const std::uint32_t leadingBytes = static_cast<std::uint32_t>(hash[0]) << 16U | static_cast<std::uint32_t>(hash[1]) << 8U | hash[2];
+    return leadingBytes & static_cast<std::uint32_t>(buckets - 1);
 }
 
 // Three leading bytes select the bucket.
--- a/src/admission/leasemessages.cpp
+++ b/src/admission/leasemessages.cpp
@@ -12,19 +12,19 @@
 // Spacing of messages to one owner: waiting calls that arrive together share a request.
 constexpr Duration requestInterval = milliseconds(2);
 
-struct Draft
+struct PendingChanges
 {
     std::vector<LeaseWish> wishes;
-    bool asks = false;
+    bool needsAnswer = false;
 };
 
-Draft draft(QuotaLeases &leases, LeaseSource &source, TimePoint now)
+PendingChanges collectChanges(QuotaLeases &leases, LeaseSource &source, TimePoint now)
 {
-    Draft result;
+    PendingChanges result;
     for (const AccountId id : source.changed) {
         Lease &lease = source.leases[id];
         LeaseAccount &account = leases.accounts[id];
-        lease.listed = false;
+        lease.queued = false;
         if (isHome(leases, source)) {
             lease.use.refunded += account.pendingRefund;
             account.pendingRefund = 0;
@@ -33,20 +33,20 @@
         LeaseWish wish;
         wish.use = lease.use;
         const bool waits = !account.waiting.empty();
-        if (lease.extra > tokenTolerance && waits) {
-            wish.need = held + lease.extra;
+        if (lease.extraNeed > tokenTolerance && waits) {
+            wish.need = held + lease.extraNeed;
             wish.priority = account.priority;
         }
         const bool shortOfTokens = waits && lease.unmet > tokenTolerance;
-        const Tokens ahead = shortOfTokens ? 0 : aheadIn(leases, source, account, now);
-        wish.target = std::max(held, wish.need + ahead);
-        result.asks = result.asks || wish.target > held + tokenTolerance;
+        const Tokens prefetch = shortOfTokens ? 0 : prefetchTarget(leases, source, account, now);
+        wish.target = std::max(held, wish.need + prefetch);
+        result.needsAnswer = result.needsAnswer || wish.target > held + tokenTolerance;
         const Tokens used = lease.use.spent + lease.use.returned;
         // A need that is given up must reach the owner in a request.
-        result.asks = result.asks || lease.unmet > tokenTolerance;
-        lease.askedNeed = used + wish.need;
-        lease.askedTarget = used + wish.target;
-        lease.askedAt = now;
+        result.needsAnswer = result.needsAnswer || lease.unmet > tokenTolerance;
+        lease.requestedNeed = used + wish.need;
+        lease.requestedTarget = used + wish.target;
+        lease.requestedAt = now;
         lease.sent = lease.use;
         result.wishes.push_back(wish);
     }
@@ -64,8 +64,8 @@
 {
     TokenRequest request{header(leases, source), std::move(wishes)};
     source.requestedAt = now;
-    if (!source.asking) {
-        source.asking = true;
+    if (!source.awaitingAnswer) {
+        source.awaitingAnswer = true;
         source.unansweredSince = now;
     }
     while (!source.sendTimes.empty() && source.sendTimes.front().second + quotaLease <= now) {
@@ -88,7 +88,7 @@
 bool holdsTokens(const LeaseSource &source)
 {
     return std::any_of(source.leases.begin(), source.leases.end(), [](const auto &entry) {
-        return availableIn(entry.second) > tokenTolerance || entry.second.extra > tokenTolerance;
+        return availableIn(entry.second) > tokenTolerance || entry.second.extraNeed > tokenTolerance;
     });
 }
 
@@ -101,7 +101,7 @@
     if (!renew && (source.changed.empty() || now - source.sentAt < requestInterval)) {
         return;
     }
-    Draft content = draft(leases, source, now);
+    PendingChanges content = collectChanges(leases, source, now);
     const bool open = source.session != 0;
     if (!open) {
         source.session = ++leases.lastSession;
@@ -109,7 +109,7 @@
         source.sendTimes.clear();
         source.expiresAt = now + quotaLease;
     }
-    if (content.asks || renew || !open) {
+    if (content.needsAnswer || renew || !open) {
         sendRequest(leases, source, std::move(content.wishes), now, out);
     } else {
         sendReport(leases, source, content.wishes, false, out);
@@ -126,16 +126,16 @@
     return lease;
 }
 
-void listChange(LeaseSource &source, AccountId account, Lease &lease, bool urgent)
+void queueChange(LeaseSource &source, AccountId account, Lease &lease, bool urgent)
 {
     source.urgent = source.urgent || urgent;
-    if (!lease.listed) {
-        lease.listed = true;
+    if (!lease.queued) {
+        lease.queued = true;
         source.changed.push_back(account);
     }
 }
 
-void lapse(LeaseSource &source)
+void dropSession(LeaseSource &source)
 {
     source.leases.clear();
     source.changed.clear();
@@ -160,12 +160,12 @@
         }
         for (auto &[id, lease] : source.leases) {
             lease.use.returned += std::max(0.0, availableIn(lease));
-            lease.extra = 0;
-            listChange(source, id, lease);
+            lease.extraNeed = 0;
+            queueChange(source, id, lease);
         }
-        const Draft content = draft(leases, source, now);
+        const PendingChanges content = collectChanges(leases, source, now);
         sendReport(leases, source, content.wishes, true, out);
-        lapse(source);
+        dropSession(source);
     }
 }
 
--- a/src/admission/leaseplan.cpp
+++ b/src/admission/leaseplan.cpp
@@ -12,10 +12,10 @@
 constexpr double demandSeconds = 0.3;
 
 // Asked ahead: a few times the request interval and round trip, and far less than the lease time that a crash would lose.
-constexpr double aheadSeconds = 0.4;
+constexpr double prefetchSeconds = 0.4;
 
 // One instance asks ahead for at most this part of a bucket, so that the other instances find tokens.
-constexpr double aheadPart = 0.5;
+constexpr double prefetchPart = 0.5;
 
 // A call of the same cost is expected for this time after the last one, and its cost is held ready. Longer times hold more
 // tokens idle, shorter ones make sparse calls wait for a round trip.
@@ -28,16 +28,16 @@
 constexpr Duration ageClass = milliseconds(50);
 
 // A home bucket without an answer for this time does not hold up the requests to other failure domains.
-constexpr Duration homePatience = milliseconds(20);
+constexpr Duration homeAnswerTimeout = milliseconds(20);
 
 // Spacing of requests for one account to a bucket owner that is short; it serves the needs it knows of meanwhile.
-constexpr Duration shortAskInterval = milliseconds(100);
+constexpr Duration shortageRequestInterval = milliseconds(100);
 
 // The same for other failure domains, which only add to what the home bucket gives.
-constexpr Duration remoteAskInterval = milliseconds(300);
+constexpr Duration remoteRequestInterval = milliseconds(300);
 
 // Another failure domain is asked when it can give at least this part. Smaller amounts arrive by balancing, with fewer messages.
-constexpr double worthPart = 0.5;
+constexpr double minimumUsefulPart = 0.5;
 
 // A call that has used half of its time asks for any amount, but only this many failure domains at once.
 constexpr std::size_t urgentDomains = 6;
@@ -75,50 +75,50 @@
         return capacity;
     }
     const LeaseUse &use = lease->second.use;
-    const Tokens givenBack = use.returned + use.refunded - lease->second.givenBackThen + account.pendingRefund;
+    const Tokens givenBack = use.returned + use.refunded - lease->second.givenBackAtAnswer + account.pendingRefund;
     return std::min(capacity, lease->second.reachable + givenBack + account.rate * source.share * toSeconds(now - lease->second.answeredAt));
 }
 
-void setExtra(LeaseSource &source, AccountId id, const LeaseAccount &account, Tokens extra, Duration interval, TimePoint now)
+void setExtraNeed(LeaseSource &source, AccountId id, const LeaseAccount &account, Tokens extraNeed, Duration interval, TimePoint now)
 {
     const auto found = source.leases.find(id);
-    if (found == source.leases.end() && extra <= tokenTolerance) {
+    if (found == source.leases.end() && extraNeed <= tokenTolerance) {
         return;
     }
     Lease &lease = leaseOf(source, id);
-    lease.extra = extra;
+    lease.extraNeed = extraNeed;
     const Tokens used = lease.use.spent + lease.use.returned;
-    const Tokens wanted = used + (extra > tokenTolerance ? availableIn(lease) + extra : 0);
-    const bool more = extra > tokenTolerance && wanted > lease.askedNeed + tokenTolerance;
-    const bool less = lease.unmet > tokenTolerance && wanted < lease.askedNeed - tokenTolerance;
+    const Tokens wanted = used + (extraNeed > tokenTolerance ? availableIn(lease) + extraNeed : 0);
+    const bool more = extraNeed > tokenTolerance && wanted > lease.requestedNeed + tokenTolerance;
+    const bool less = lease.unmet > tokenTolerance && wanted < lease.requestedNeed - tokenTolerance;
     // An owner that is known to be short gains nothing from each single new call; the next tick after the interval tells it.
-    const bool tooSoon = lease.unmet > tokenTolerance && now - lease.askedAt < interval;
+    const bool tooSoon = lease.unmet > tokenTolerance && now - lease.requestedAt < interval;
     if ((more || less) && !tooSoon) {
         // While the home bucket is short, the requests of several accounts share the message of the next tick.
-        listChange(source, id, lease, lease.unmet <= tokenTolerance && now >= account.shortUntil);
+        queueChange(source, id, lease, lease.unmet <= tokenTolerance && now >= account.shortageUntil);
     }
 }
 
-Tokens missingAtHome(const LeaseSource &home, AccountId id, Tokens missing, Tokens homeExtra, TimePoint now)
+Tokens missingAfterHome(const LeaseSource &home, AccountId id, Tokens missing, Tokens homeExtra, TimePoint now)
 {
     const auto lease = home.leases.find(id);
     const bool shortOfTokens = lease != home.leases.end() && lease->second.unmet > tokenTolerance;
-    const bool late = home.asking && now - home.unansweredSince > homePatience;
+    const bool late = home.awaitingAnswer && now - home.unansweredSince > homeAnswerTimeout;
     return shortOfTokens || late ? missing : missing - homeExtra;
 }
 
-void askOthers(QuotaLeases &leases, AccountId id, const LeaseAccount &account, Tokens missing, TimePoint now)
+void requestFromOtherDomains(QuotaLeases &leases, AccountId id, const LeaseAccount &account, Tokens missing, TimePoint now)
 {
     struct Candidate
     {
         LeaseSource *source;
         Tokens reachable;
-        bool silent;
+        bool unreachable;
     };
     std::vector<Candidate> candidates;
     for (LeaseSource &source : leases.sources) {
         if (!source.retired && source.domain != leases.home) {
-            candidates.push_back({&source, reachableIn(source, id, account, now), silent(source, now)});
+            candidates.push_back({&source, reachableIn(source, id, account, now), isUnreachable(source, now)});
         }
     }
     if (candidates.empty()) {
@@ -127,7 +127,7 @@
     // Instances start at different places among equal candidates.
     std::rotate(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(leases.process % candidates.size()), candidates.end());
     std::stable_sort(candidates.begin(), candidates.end(), [](const Candidate &left, const Candidate &right) {
-        return left.silent != right.silent ? right.silent : left.reachable > right.reachable;
+        return left.unreachable != right.unreachable ? right.unreachable : left.reachable > right.reachable;
     });
     const bool urgent = !account.waiting.empty() && now - account.waiting.front().since > account.waiting.front().deadline - now;
     std::size_t urgentLeft = urgent ? urgentDomains : 0;
@@ -137,13 +137,13 @@
         const Tokens heldThere = lease == candidate.source->leases.end() ? 0 : availableIn(lease->second);
         const Tokens room = std::max(0.0, capacityOf(*candidate.source, account) - heldThere);
         const bool wanted = missing > tokenTolerance && covered < missing;
-        bool worthAsking = candidate.reachable >= worthPart * std::min(missing, room);
+        bool worthAsking = candidate.reachable >= minimumUsefulPart * std::min(missing, room);
         if (wanted && !worthAsking && urgentLeft > 0) {
             worthAsking = true;
             --urgentLeft;
         }
-        setExtra(*candidate.source, id, account, wanted && worthAsking ? std::min(missing, room) : 0, remoteAskInterval, now);
-        if (!candidate.silent) {
+        setExtraNeed(*candidate.source, id, account, wanted && worthAsking ? std::min(missing, room) : 0, remoteRequestInterval, now);
+        if (!candidate.unreachable) {
             covered += std::min(room, candidate.reachable);
         }
     }
@@ -153,28 +153,28 @@
 
 double demandAt(const LeaseAccount &account, TimePoint now)
 {
-    return account.demand * std::exp(-toSeconds(now - account.demandAt) / demandSeconds);
+    return account.demand * std::exp(-toSeconds(now - account.demandUpdatedAt) / demandSeconds);
 }
 
 void countDemand(LeaseAccount &account, Tokens cost, TimePoint now)
 {
     account.demand = demandAt(account, now) + cost / demandSeconds;
-    account.demandAt = now;
-    account.recentCost = cost;
+    account.demandUpdatedAt = now;
+    account.lastCost = cost;
 }
 
-Tokens aheadIn(const QuotaLeases &leases, const LeaseSource &source, const LeaseAccount &account, TimePoint now)
+Tokens prefetchTarget(const QuotaLeases &leases, const LeaseSource &source, const LeaseAccount &account, TimePoint now)
 {
     const double demand = demandAt(account, now);
-    const Tokens ahead = demand < 1 ? 0 : std::min(demand * aheadSeconds, capacityOf(source, account) * aheadPart);
+    const Tokens prefetch = demand < 1 ? 0 : std::min(demand * prefetchSeconds, capacityOf(source, account) * prefetchPart);
     if (isHome(leases, source)) {
-        const bool expected = account.recentCost > 0 && now - account.demandAt < sparseCallTime;
-        return expected ? std::max(ahead, std::min(account.recentCost, capacityOf(source, account) * sparsePart)) : ahead;
+        const bool expected = account.lastCost > 0 && now - account.demandUpdatedAt < sparseCallTime;
+        return expected ? std::max(prefetch, std::min(account.lastCost, capacityOf(source, account) * sparsePart)) : prefetch;
     }
-    return now < account.shortUntil ? ahead / static_cast<double>(leases.sources.size()) : 0;
+    return now < account.shortageUntil ? prefetch / static_cast<double>(leases.sources.size()) : 0;
 }
 
-void plan(QuotaLeases &leases, AccountId id, LeaseAccount &account, TimePoint now)
+void planRequests(QuotaLeases &leases, AccountId id, LeaseAccount &account, TimePoint now)
 {
     if (account.waiting.empty() && account.priority == 0) {
         return;
@@ -191,12 +191,12 @@
         if (isHome(leases, source)) {
             const auto lease = source.leases.find(id);
             const Tokens heldThere = lease == source.leases.end() ? 0 : availableIn(lease->second);
-            const Tokens extra = std::min(missing, std::max(0.0, capacityOf(source, account) - heldThere));
-            missingElsewhere = missingAtHome(source, id, missing, extra, now);
-            setExtra(source, id, account, extra, shortAskInterval, now);
+            const Tokens extraNeed = std::min(missing, std::max(0.0, capacityOf(source, account) - heldThere));
+            missingElsewhere = missingAfterHome(source, id, missing, extraNeed, now);
+            setExtraNeed(source, id, account, extraNeed, shortageRequestInterval, now);
         }
     }
-    askOthers(leases, id, account, missingElsewhere, now);
+    requestFromOtherDomains(leases, id, account, missingElsewhere, now);
 }
 
 std::optional<Duration> timeToReach(const QuotaLeases &leases, AccountId id, const LeaseAccount &account, Tokens cost, Tokens needed, TimePoint now)
@@ -207,7 +207,7 @@
     bool known = false;
     for (const LeaseSource &source : leases.sources) {
         // A silent owner at home has crashed and is replaced; calls wait for its successor. Others are cut off.
-        const bool unreachable = silent(source, now) && !isHome(leases, source);
+        const bool unreachable = isUnreachable(source, now) && !isHome(leases, source);
         known = known || !source.retired;
         if (source.retired || unreachable) {
             continue;
--- a/src/admission/quotaleases.cpp
+++ b/src/admission/quotaleases.cpp
@@ -15,7 +15,7 @@
 constexpr Duration unknownRetryAfter = seconds(1);
 
 // Other failure domains are asked ahead for this time after the home bucket was short.
-constexpr Duration shortageMemory = seconds(1);
+constexpr Duration shortageDuration = seconds(1);
 
 // Use is reported at this interval; the bucket refills for spent tokens only once it knows of them.
 constexpr Duration reportInterval = milliseconds(100);
@@ -24,7 +24,7 @@
 constexpr Duration resendInterval = milliseconds(150);
 
 // Spacing of requests for tokens ahead of one account.
-constexpr Duration aheadInterval = milliseconds(50);
+constexpr Duration prefetchInterval = milliseconds(50);
 
 // The estimate misses tokens that are under way between buckets (up to 250 ms) and use that is not yet reported (100 ms). A call
 // that is late by less waits, so that an early refusal is never wrong for this reason.
@@ -37,7 +37,7 @@
 
 void runWaiting(QuotaLeases &leases, AccountId id, LeaseAccount &account, TimePoint now, LeaseActions &out)
 {
-    while (!account.waiting.empty() && take(leases, id, account.waiting.front().cost, now)) {
+    while (!account.waiting.empty() && spend(leases, id, account.waiting.front().cost, now)) {
         out.run.push_back(account.waiting.front().id);
         account.waiting.pop_front();
     }
@@ -62,26 +62,26 @@
 
 void serveActive(QuotaLeases &leases, TimePoint now, LeaseActions &out)
 {
-    for (const AccountId id : leases.active) {
+    for (const AccountId id : leases.waitingAccounts) {
         LeaseAccount &account = leases.accounts[id];
         refuseLate(leases, id, account, now, out);
         runWaiting(leases, id, account, now, out);
         const std::uint64_t priority = account.priority;
-        plan(leases, id, account, now);
+        planRequests(leases, id, account, now);
         for (LeaseSource &source : leases.sources) {
             const auto lease = source.leases.find(id);
-            const bool asked = lease != source.leases.end() && lease->second.extra > tokenTolerance;
+            const bool asked = lease != source.leases.end() && lease->second.extraNeed > tokenTolerance;
             if (asked && (priority != account.priority || now - source.requestedAt >= resendInterval)) {
-                listChange(source, id, lease->second);
+                queueChange(source, id, lease->second);
             }
         }
     }
-    std::erase_if(leases.active, [&leases](AccountId id) {
+    std::erase_if(leases.waitingAccounts, [&leases](AccountId id) {
         return leases.accounts[id].waiting.empty();
     });
 }
 
-void review(const QuotaLeases &leases, LeaseSource &source, AccountId id, Lease &lease, TimePoint now)
+void reviewLease(const QuotaLeases &leases, LeaseSource &source, AccountId id, Lease &lease, TimePoint now)
 {
     const auto found = leases.accounts.find(id);
     if (found == leases.accounts.end()) {
@@ -90,19 +90,19 @@
     const LeaseAccount &account = found->second;
     if (account.waiting.empty()) {
         const Tokens held = availableIn(lease);
-        const Tokens ahead = aheadIn(leases, source, account, now);
-        const bool spaced = now - lease.askedAt >= aheadInterval;
-        if (held > 2 * ahead + tokenTolerance && spaced) {
-            lease.use.returned += held - ahead;
-            listChange(source, id, lease);
-        } else if (held < ahead / 2 && spaced) {
-            listChange(source, id, lease);
+        const Tokens prefetch = prefetchTarget(leases, source, account, now);
+        const bool spaced = now - lease.requestedAt >= prefetchInterval;
+        if (held > 2 * prefetch + tokenTolerance && spaced) {
+            lease.use.returned += held - prefetch;
+            queueChange(source, id, lease);
+        } else if (held < prefetch / 2 && spaced) {
+            queueChange(source, id, lease);
         }
     }
     const LeaseUse &use = lease.use;
     const bool unreported = use.spent != lease.sent.spent || use.returned != lease.sent.returned || use.refunded != lease.sent.refunded;
     if (unreported && now - source.sentAt >= reportInterval) {
-        listChange(source, id, lease);
+        queueChange(source, id, lease);
     }
 }
 
@@ -112,7 +112,7 @@
     if (held > 0) {
         lease.use.returned += held;
     }
-    listChange(source, id, lease, true);
+    queueChange(source, id, lease, true);
 }
 
 void apply(QuotaLeases &leases, LeaseSource &source, const TokenGrant &grant, const GrantItem &item, TimePoint now)
@@ -126,19 +126,19 @@
     const Tokens added = item.granted - lease.granted;
     if (added > 0) {
         lease.granted = item.granted;
-        if (grant.configuration < account->second.loweredAt) {
+        if (grant.configuration < account->second.loweredInVersion) {
             // Granted under a larger capacity than the one in force here.
             lease.use.returned += added;
-            listChange(source, item.account, lease);
+            queueChange(source, item.account, lease);
         }
     }
     lease.reachable = item.reachable;
-    lease.givenBackThen = lease.sent.returned + lease.sent.refunded;
+    lease.givenBackAtAnswer = lease.sent.returned + lease.sent.refunded;
     lease.unmet = item.unmet;
     lease.answeredAt = now;
     lease.answered = true;
     if (isHome(leases, source) && item.unmet > tokenTolerance) {
-        account->second.shortUntil = now + shortageMemory;
+        account->second.shortageUntil = now + shortageDuration;
     }
     const bool waitsLonger = !account->second.waiting.empty() && account->second.priority > item.recall;
     if (item.recall != 0 && !waitsLonger) {
@@ -156,11 +156,11 @@
         if (after >= before) {
             continue;
         }
-        account.loweredAt = version;
+        account.loweredInVersion = version;
         const auto lease = source.leases.find(id);
         if (lease != source.leases.end()) {
             lease->second.use.returned += std::max(0.0, availableIn(lease->second)) * (1 - after / before);
-            listChange(source, id, lease->second);
+            queueChange(source, id, lease->second);
         }
     }
     account.rate = rate;
@@ -232,7 +232,7 @@
     return sum;
 }
 
-bool take(QuotaLeases &leases, AccountId account, Tokens cost, TimePoint now)
+bool spend(QuotaLeases &leases, AccountId account, Tokens cost, TimePoint now)
 {
     if (available(leases, account, now) + tokenTolerance < cost) {
         return false;
@@ -256,7 +256,7 @@
         return Admission::Refused;
     }
     LeaseAccount &account = found->second;
-    if (account.waiting.empty() && take(leases, id, call.cost, now)) {
+    if (account.waiting.empty() && spend(leases, id, call.cost, now)) {
         countDemand(account, call.cost, now);
         return Admission::Run;
     }
@@ -274,11 +274,11 @@
         return Admission::Refused;
     }
     countDemand(account, call.cost, now);
-    if (std::find(leases.active.begin(), leases.active.end(), id) == leases.active.end()) {
-        leases.active.push_back(id);
+    if (std::find(leases.waitingAccounts.begin(), leases.waitingAccounts.end(), id) == leases.waitingAccounts.end()) {
+        leases.waitingAccounts.push_back(id);
     }
     account.waiting.push_back(call);
-    plan(leases, id, account, now);
+    planRequests(leases, id, account, now);
     flush(leases, now, false, out);
     return Admission::Wait;
 }
@@ -292,7 +292,7 @@
     const std::size_t removed = std::erase_if(found->second.waiting, [&call](const WaitingCall &waiting) {
         return waiting.id == call;
     });
-    plan(leases, id, found->second, now);
+    planRequests(leases, id, found->second, now);
     return removed > 0;
 }
 
@@ -318,7 +318,7 @@
     if (rest > 0) {
         found->second.pendingRefund += rest;
         if (!leases.sources.empty() && isHome(leases, leases.sources.front())) {
-            listChange(leases.sources.front(), id, leaseOf(leases.sources.front(), id));
+            queueChange(leases.sources.front(), id, leaseOf(leases.sources.front(), id));
         }
     }
     return credited;
@@ -339,7 +339,7 @@
     if (sent != source->sendTimes.end()) {
         source->expiresAt = std::max(source->expiresAt, sent->second + std::min(grant.validFor, quotaLease));
     }
-    source->asking = false;
+    source->awaitingAnswer = false;
     for (const GrantItem &item : grant.items) {
         apply(leases, *source, grant, item, now);
     }
@@ -347,7 +347,7 @@
         const auto account = leases.accounts.find(item.account);
         if (account != leases.accounts.end()) {
             runWaiting(leases, item.account, account->second, now, out);
-            plan(leases, item.account, account->second, now);
+            planRequests(leases, item.account, account->second, now);
         }
     }
     flush(leases, now, false, out);
@@ -357,7 +357,7 @@
 {
     for (LeaseSource &source : leases.sources) {
         if (source.session != 0 && now >= source.expiresAt) {
-            lapse(source);
+            dropSession(source);
         }
     }
     std::erase_if(leases.sources, [](const LeaseSource &source) {
@@ -369,7 +369,7 @@
             continue;
         }
         for (auto &[id, lease] : source.leases) {
-            review(leases, source, id, lease, now);
+            reviewLease(leases, source, id, lease, now);
         }
     }
     flush(leases, now, true, out);
--- a/src/allowance/tokenbank.cpp
+++ b/src/allowance/ratelimiter.cpp
@@ -1,4 +1,4 @@
-#include "mimosahollow/allowance/tokenbank.h"
+#include "mimosahollow/allowance/ratelimiter.h"
 
 #include "mimosahollow/catalog/catalog.h"
 
@@ -8,14 +8,14 @@
 
 namespace {
 
-double limit(const TokenBank &bank, const BankAccount &account)
+double limit(const RateLimiter &limiter, const RateLimitAccount &account)
 {
-    return account.ratePerSecond * toSeconds(bank.options.window) + account.burst;
+    return account.ratePerSecond * toSeconds(limiter.options.window) + account.burst;
 }
 
-void forgetOld(const TokenBank &bank, BankAccount &account, TimePoint now)
+void dropExpiredGrants(const RateLimiter &limiter, RateLimitAccount &account, TimePoint now)
 {
-    while (!account.grants.empty() && now - account.grants.front().begin >= bank.options.window + bank.options.step) {
+    while (!account.grants.empty() && now - account.grants.front().begin >= limiter.options.window + limiter.options.step) {
         account.granted -= account.grants.front().tokens;
         account.grants.pop_front();
     }
@@ -26,32 +26,32 @@
 
 } // namespace
 
-void configure(TokenBank &bank, const catalog::Catalog &catalog)
+void configure(RateLimiter &limiter, const catalog::Catalog &catalog)
 {
-    std::map<std::string, BankAccount, std::less<>> accounts;
+    std::map<std::string, RateLimitAccount, std::less<>> accounts;
     for (const catalog::OrganisationSpec &organisation : catalog.organisations) {
         if (organisation.ratePerSecond <= 0) {
             continue;
         }
-        BankAccount account;
-        const auto known = bank.accounts.find(organisation.name);
-        if (known != bank.accounts.end()) {
+        RateLimitAccount account;
+        const auto known = limiter.accounts.find(organisation.name);
+        if (known != limiter.accounts.end()) {
             account = std::move(known->second);
         }
         account.ratePerSecond = organisation.ratePerSecond;
         account.burst = organisation.burst;
         accounts.emplace(organisation.name, std::move(account));
     }
-    bank.accounts = std::move(accounts);
+    limiter.accounts = std::move(accounts);
 }
 
-void takeBack(TokenBank &bank, std::string_view organisation, double tokens)
+void returnTokens(RateLimiter &limiter, std::string_view organisation, double tokens)
 {
-    const auto found = bank.accounts.find(organisation);
-    if (found == bank.accounts.end()) {
+    const auto found = limiter.accounts.find(organisation);
+    if (found == limiter.accounts.end()) {
         return;
     }
-    BankAccount &account = found->second;
+    RateLimitAccount &account = found->second;
     // From the newest grants: what was granted earlier may leave the window before this return is counted.
     for (auto sum = account.grants.rbegin(); sum != account.grants.rend() && tokens > 0; ++sum) {
         const double part = std::min(tokens, sum->tokens);
@@ -61,13 +61,13 @@
     }
 }
 
-void notePast(TokenBank &bank, std::string_view organisation, double tokens, Duration age, TimePoint now)
+void recordPastUse(RateLimiter &limiter, std::string_view organisation, double tokens, Duration age, TimePoint now)
 {
-    const auto found = bank.accounts.find(organisation);
-    if (found == bank.accounts.end() || age >= bank.options.window) {
+    const auto found = limiter.accounts.find(organisation);
+    if (found == limiter.accounts.end() || age >= limiter.options.window) {
         return;
     }
-    BankAccount &account = found->second;
+    RateLimitAccount &account = found->second;
     const auto isLater = [begin = now - age](const GrantSum &sum) {
         return sum.begin > begin;
     };
@@ -76,19 +76,19 @@
     account.granted += tokens;
 }
 
-double grant(TokenBank &bank, std::string_view organisation, double wish, TimePoint now)
+double grant(RateLimiter &limiter, std::string_view organisation, double requested, TimePoint now)
 {
-    const auto found = bank.accounts.find(organisation);
-    if (found == bank.accounts.end() || now < bank.opensAt) {
+    const auto found = limiter.accounts.find(organisation);
+    if (found == limiter.accounts.end() || now < limiter.grantsStartAt) {
         return 0;
     }
-    BankAccount &account = found->second;
-    forgetOld(bank, account, now);
-    const double granted = std::clamp(wish, 0.0, std::max(0.0, limit(bank, account) - account.granted));
+    RateLimitAccount &account = found->second;
+    dropExpiredGrants(limiter, account, now);
+    const double granted = std::clamp(requested, 0.0, std::max(0.0, limit(limiter, account) - account.granted));
     if (granted <= 0) {
         return 0;
     }
-    if (account.grants.empty() || now - account.grants.back().begin >= bank.options.step) {
+    if (account.grants.empty() || now - account.grants.back().begin >= limiter.options.step) {
         account.grants.push_back({now, 0});
     }
     account.grants.back().tokens += granted;
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -210,7 +210,7 @@
     line.add("term", term).add("index", m_state.index).add("catalog", m_state.catalogVersion);
     observability::logDecision(line.text());
     m_bank.accounts.clear();
-    m_bank.opensAt = now + m_bank.options.handover;
+    m_bank.grantsStartAt = now + m_bank.options.takeoverDelay;
     m_entries.clear();
     m_unconfirmedReports.clear();
     m_confirmingReports.clear();
@@ -244,7 +244,7 @@
 /** Grants begin as soon as all connected entry instances have told what they spent. */
 void Coordinator::openTokenBank(TimePoint now)
 {
-    if (now >= m_bank.opensAt || now - m_leadsSince < m_settings.handoverMinimum) {
+    if (now >= m_bank.grantsStartAt || now - m_leadsSince < m_settings.handoverMinimum) {
         return;
     }
     for (const fleetlink::Peer &peer : m_hub->peers()) {
@@ -253,7 +253,7 @@
             return;
         }
     }
-    m_bank.opensAt = now;
+    m_bank.grantsStartAt = now;
 }
 
 void Coordinator::loseLeadership()
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -4,7 +4,7 @@
 #include "coordinator/coordinatorsettings.h"
 #include "coordinator/engineoperations.h"
 #include "fleetlink/linkhub.h"
-#include "mimosahollow/allowance/tokenbank.h"
+#include "mimosahollow/allowance/ratelimiter.h"
 #include "mimosahollow/catalog/catalogdecoder.h"
 #include "mimosahollow/catalog/catalogindex.h"
 #include "mimosahollow/control/consensus.h"
@@ -170,7 +170,7 @@
 
     bool m_isLeading = false; // set once the first entry of the own term as leader is applied
     TimePoint m_leadsSince{};
-    allowance::TokenBank m_bank;
+    allowance::RateLimiter m_bank;
     placement::PlacementState m_placement;
     struct HolderCandidate
     {
--- a/src/coordinator/coordinatorsettings.h
+++ b/src/coordinator/coordinatorsettings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "mimosahollow/allowance/tokenbank.h"
+#include "mimosahollow/allowance/ratelimiter.h"
 #include "mimosahollow/control/consensusstate.h"
 #include "mimosahollow/core/time.h"
 #include "mimosahollow/placement/placementstate.h"
@@ -45,7 +45,7 @@
     Duration tickInterval = milliseconds(25); /**< A quarter of a heartbeat. */
     control::ConsensusOptions consensus = consensusDefaults();
     registry::RegistryOptions registry;
-    allowance::BankOptions bank;
+    allowance::RateLimiterOptions bank;
     placement::PlacementOptions placement;
     placement::OrderSlotOptions orderSlots;
     voterplan::VoterPlanOptions voterPlan;
--- a/src/ingress/entry.h
+++ b/src/ingress/entry.h
@@ -3,7 +3,7 @@
 #include "fleetlink/linkhub.h"
 #include "gateway/upstream.h"
 #include "ingress/entrysettings.h"
-#include "mimosahollow/allowance/tokenwallet.h"
+#include "mimosahollow/allowance/quotacache.h"
 #include "mimosahollow/catalog/catalogdecoder.h"
 #include "mimosahollow/dispatch/dispatch.h"
 #include "mimosahollow/fleetstate/fleetstate.h"
@@ -136,7 +136,7 @@
 
     fleetstate::FleetState m_state;
     dispatch::DispatchState m_dispatch;
-    allowance::TokenWallet m_wallet;
+    allowance::QuotaCache m_wallet;
     std::string m_leader; // link address
     bool m_sendsHistory = true; // until the leader has what was spent before its time
     std::int64_t m_confirmedAt = 0; // boot clock, milliseconds, when the newest confirmed report was sent; 0: never
--- a/src/ingress/entrycalls.cpp
+++ b/src/ingress/entrycalls.cpp
@@ -42,7 +42,7 @@
         co_return TokenOutcome::Taken;
     }
     const TimePoint now = Clock::now();
-    allowance::noteDemand(m_wallet, organisation.name, tokens, now);
+    allowance::recordDemand(m_wallet, organisation.name, tokens, now);
     const bool othersWait = std::any_of(m_tokenWaiters.begin(), m_tokenWaiters.end(), [&organisation](const TokenWaiter *other) {
         return other->organisation == organisation.name && !other->granted;
     });
@@ -72,7 +72,7 @@
 
 void Entry::giveBackTokens(const std::string &organisation, double tokens)
 {
-    allowance::giveBack(m_wallet, organisation, tokens);
+    allowance::refund(m_wallet, organisation, tokens);
 }
 
 asio::awaitable<ServerChoice> Entry::chooseServer(const dispatch::Call &call, gateway::CallerWatch &watch)
--- a/src/ingress/entrylinks.cpp
+++ b/src/ingress/entrylinks.cpp
@@ -101,7 +101,7 @@
         waiter->cancel();
     }
     for (const fleetlink::NamedNumber &tokens : reply.tokens) {
-        allowance::deposit(m_wallet, tokens.name, tokens.value, now);
+        allowance::addGrant(m_wallet, tokens.name, tokens.value, now);
     }
     for (auto &[id, server] : m_dispatch.servers) {
         server.othersRunning = 0;
@@ -182,8 +182,8 @@
 void Entry::addHistory(fleetlink::EntryReport &report, TimePoint now) const
 {
     report.hasHistory = true;
-    for (const auto &[organisation, purse] : m_wallet.purses) {
-        for (const allowance::Spending &spending : allowance::history(m_wallet, purse, now)) {
+    for (const auto &[organisation, purse] : m_wallet.quotas) {
+        for (const allowance::Spending &spending : allowance::spendingHistory(m_wallet, purse, now)) {
             const auto age = std::chrono::duration_cast<milliseconds>(now - spending.begin).count();
             report.spent.push_back({organisation, spending.tokens, static_cast<unsigned>(age)});
         }
@@ -198,16 +198,16 @@
     if (const fleetlink::Peer *leader = m_hub->findDialed(m_leader)) {
         fleetlink::EntryReport report;
         report.stamp = static_cast<std::uint64_t>(fleetlink::bootMilliseconds());
-        for (auto &[organisation, purse] : m_wallet.purses) {
+        for (auto &[organisation, purse] : m_wallet.quotas) {
             // A leader that does not know of a grant must not take it back.
             if (const double expired = allowance::takeExpired(m_wallet, purse, now); expired > 0 && !m_sendsHistory) {
                 report.returned.push_back({organisation, expired});
             }
-            purse.missing = 0;
+            purse.shortfall = 0;
             for (const TokenWaiter *waiter : m_tokenWaiters) {
-                purse.missing += waiter->organisation == organisation && !waiter->granted ? waiter->tokens : 0;
+                purse.shortfall += waiter->organisation == organisation && !waiter->granted ? waiter->tokens : 0;
             }
-            if (const double wish = allowance::wish(m_wallet, purse, now); wish >= 1) {
+            if (const double wish = allowance::tokensToRequest(m_wallet, purse, now); wish >= 1) {
                 report.tokenWishes.push_back({organisation, wish});
             }
         }
--- a/src/ingress/entrysettings.h
+++ b/src/ingress/entrysettings.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "ingress/headernames.h"
-#include "mimosahollow/allowance/tokenwallet.h"
+#include "mimosahollow/allowance/quotacache.h"
 #include "mimosahollow/core/time.h"
 #include "mimosahollow/dispatch/dispatchstate.h"
 
@@ -35,7 +35,7 @@
     Duration lameDuck = milliseconds(2800);
     std::size_t bufferedAnswerBytes = 65'536; /**< Larger answers are passed on before they are complete. */
     dispatch::DispatchOptions dispatch;
-    allowance::WalletOptions wallet;
+    allowance::QuotaCacheOptions wallet;
 };
 
 } // namespace mimosahollow::ingress
--- a/tests/admission/quotaleases.cpp
+++ b/tests/admission/quotaleases.cpp
@@ -163,7 +163,7 @@
     applyConfiguration(owner, configuration, start);
     startOwnership(owner, 2, start + seconds(3), start);
     const Duration wait = seconds(3) + quotaLease + quotaLeaseMargin;
-    REQUIRE(owner.startsAt == start + wait);
+    REQUIRE(owner.grantsStartAt == start + wait);
     BucketActions out;
 
     SECTION("a refund before the start is lost")
@@ -175,7 +175,7 @@
     {
         const BucketHandover handover = stopOwnership(owner, start + seconds(1));
         startOwnership(owner, 3, handover, start + seconds(1));
-        REQUIRE(owner.startsAt == start + wait);
+        REQUIRE(owner.grantsStartAt == start + wait);
     }
     SECTION("the bucket fills from the start on")
     {
@@ -221,7 +221,7 @@
     // The fake network also carries the load account; calls that wait are counted when the fleet lets them run.
     while (fleet.now < start + seconds(5)) {
         if (leases.accounts[loadAccount].waiting.empty()) {
-            fleet.callFor(0, loadAccount, loadCost, seconds(10));
+            fleet.callAccount(0, loadAccount, loadCost, seconds(10));
         }
         fleet.advance(milliseconds(10));
     }
--- a/tests/admission/tokenfleet.cpp
+++ b/tests/admission/tokenfleet.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 TokenFleet::TokenFleet(std::size_t domains, std::size_t perDomain, double rate, double burst, std::uint64_t seed)
-    : random(seed), instances(domains * perDomain), owners(domains), cut(domains, false), now(TimePoint{} + std::chrono::hours(1))
+    : random(seed), instances(domains * perDomain), owners(domains), partitioned(domains, false), now(TimePoint{} + std::chrono::hours(1))
 {
     for (std::size_t d = 0; d < domains; ++d) {
         configuration.domains.push_back({static_cast<DomainId>(d + 1), "d", 1.0 / static_cast<double>(domains), false});
@@ -65,7 +65,7 @@
     ++messagesByKind[payload.index()];
     const int copies = chance(random, faults.loss) ? 0 : chance(random, faults.duplication) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-        const auto longest = chance(random, faults.late) ? milliseconds(4000) : milliseconds(3);
+        const auto longest = chance(random, faults.delayed) ? milliseconds(4000) : milliseconds(3);
         const auto delay = milliseconds(std::uniform_int_distribution<int>(1, static_cast<int>(longest.count()))(random));
         network.push({now + delay, ++counter, from, number(to) - 1, payload});
     }
@@ -88,7 +88,7 @@
     }
     for (const RefusedCall &call : out.refused) {
         refused.push_back(call);
-        open.erase(call.id);
+        pendingCalls.erase(call.id);
     }
 }
 
@@ -126,8 +126,8 @@
 
 void TokenFleet::started(RequestId id)
 {
-    const CallRecord record = open[id];
-    open.erase(id);
+    const CallRecord record = pendingCalls[id];
+    pendingCalls.erase(id);
     if (record.account == loadAccount) {
         ++ranLoads;
         return;
@@ -138,23 +138,23 @@
     running.emplace(now + callTime, RunningReservation{record.instance, instances[record.instance].leases.process, record.cost, record.used});
 }
 
-void TokenFleet::call(std::size_t instance, double cost, double used, Duration patience)
+void TokenFleet::call(std::size_t instance, double cost, double used, Duration timeout)
 {
-    start(instance, {cost, used, instance, now, account}, patience);
+    start(instance, {cost, used, instance, now, account}, timeout);
 }
 
-void TokenFleet::callFor(std::size_t instance, AccountId id, double cost, Duration patience)
+void TokenFleet::callAccount(std::size_t instance, AccountId id, double cost, Duration timeout)
 {
-    start(instance, {cost, cost, instance, now, id}, patience);
+    start(instance, {cost, cost, instance, now, id}, timeout);
 }
 
-void TokenFleet::start(std::size_t instance, const CallRecord &record, Duration patience)
+void TokenFleet::start(std::size_t instance, const CallRecord &record, Duration timeout)
 {
     const RequestId id{instance, ++counter};
-    open[id] = record;
+    pendingCalls[id] = record;
     Admission result{};
     withLeases(instance, [&](QuotaLeases &leases, LeaseActions &out) {
-        result = admit(leases, record.account, {id, record.cost, now, now + patience}, now, out);
+        result = admit(leases, record.account, {id, record.cost, now, now + timeout}, now, out);
     });
     if (result == Admission::Run) {
         started(id);
@@ -176,7 +176,7 @@
 {
     const std::size_t from = instances[packet.from].domain;
     const std::size_t to = instances[packet.to].domain;
-    if (from != to && (cut[from] || cut[to])) {
+    if (from != to && (partitioned[from] || partitioned[to])) {
         return;
     }
     if (const auto *grant = std::get_if<TokenGrant>(&packet.payload)) {
@@ -232,7 +232,7 @@
 {
     const std::size_t domain = instances[instance].domain;
     const FencingNumber epoch = instances[owners[domain]].owner.epoch;
-    std::erase_if(open, [instance](const auto &entry) {
+    std::erase_if(pendingCalls, [instance](const auto &entry) {
         return entry.second.instance == instance;
     });
     reset(instance);
@@ -259,8 +259,8 @@
         startOwnership(next, epoch, now + ownerLease, now);
     }
     if (mutant == Mutant::NewOwnerStartsFull) {
-        next.startsAt = now;
-        next.buckets[account].filledAt = now;
+        next.grantsStartAt = now;
+        next.buckets[account].refilledAt = now;
         next.buckets[account].level = next.buckets[account].burst * next.share;
     }
     announce(domain, epoch);
@@ -277,9 +277,9 @@
     }
 }
 
-void TokenFleet::partition(std::size_t domain, bool isCut)
+void TokenFleet::partition(std::size_t domain, bool isolated)
 {
-    cut[domain] = isCut;
+    partitioned[domain] = isolated;
 }
 
 } // namespace mimosahollow::tests
--- a/tests/admission/tokenfleet.h
+++ b/tests/admission/tokenfleet.h
@@ -25,7 +25,7 @@
 {
     double loss = 0;
     double duplication = 0;
-    double late = 0; /**< Delayed by up to 4 s instead of 1 to 3 ms. */
+    double delayed = 0; /**< Delayed by up to 4 s instead of 1 to 3 ms. */
 };
 
 /** Deliberate breaks of the rule, to show that the checker notices them. */
@@ -77,12 +77,12 @@
     TokenFleet(std::size_t domains, std::size_t perDomain, double rate, double burst, std::uint64_t seed);
 
     void advance(Duration time); /**< In steps of 1 ms; a tick every 20 ms. */
-    void call(std::size_t instance, double cost, double used, Duration patience);
-    void callFor(std::size_t instance, AccountId account, double cost, Duration patience); /**< Counted in ranLoads, not in the ledger. */
+    void call(std::size_t instance, double cost, double used, Duration timeout);
+    void callAccount(std::size_t instance, AccountId account, double cost, Duration timeout); /**< Counted in ranLoads, not in the ledger. */
     void crash(std::size_t instance); /**< Restarts at once with a new process number and no state. */
     void changeOwner(std::size_t domain, bool graceful);
     void configure(double rate, double burst);
-    void partition(std::size_t domain, bool cut);
+    void partition(std::size_t domain, bool isolated);
 
     std::mt19937_64 random;
     NetworkFaults faults;
@@ -90,10 +90,10 @@
     control::Configuration configuration;
     std::vector<TestInstance> instances;
     std::vector<std::size_t> owners; /**< Instance that owns the buckets, by domain. */
-    std::vector<bool> cut;
+    std::vector<bool> partitioned;
     std::priority_queue<Packet> network;
     std::multimap<TimePoint, RunningReservation> running;
-    std::map<RequestId, CallRecord> open;
+    std::map<RequestId, CallRecord> pendingCalls;
     RateChecker ledger;
     TimePoint now{};
     std::uint64_t counter = 0;
@@ -112,7 +112,7 @@
     void withOwner(std::size_t instance, Function function);
     void send(std::size_t from, InstanceId to, Payload payload);
     void deliver(const Packet &packet);
-    void start(std::size_t instance, const CallRecord &record, Duration patience);
+    void start(std::size_t instance, const CallRecord &record, Duration timeout);
     void started(RequestId id);
     void tickAll();
     void finishCalls();
--- a/tests/admission/tokenhistories.cpp
+++ b/tests/admission/tokenhistories.cpp
@@ -79,7 +79,7 @@
             randomFault(fleet);
         }
         for (const TestInstance &instance : fleet.instances) {
-            RC_ASSERT(instance.leases.active.size() <= 1U);
+            RC_ASSERT(instance.leases.waitingAccounts.size() <= 1U);
         }
         RC_LOG() << "worst window " << fleet.ledger.worst << " of burst " << fleet.ledger.burst << '\n';
         RC_ASSERT(fleet.ledger.holds());
@@ -159,7 +159,7 @@
         }
         fleet.advance(seconds(2));
         RC_ASSERT(fleet.refused.empty());
-        RC_ASSERT(fleet.open.empty());
+        RC_ASSERT(fleet.pendingCalls.empty());
         RC_ASSERT(fleet.ledger.holds());
     }));
 }
