--- a/include/mimosahollow/admission/bucketowner.h
+++ b/include/mimosahollow/admission/bucketowner.h
@@ -11,30 +11,31 @@
 
 namespace mimosahollow::admission {
 
-/** Bucket of one account in one failure domain. Invariant: level + outstanding + expected <= burst x share. */
+/** Token bucket of one account in one failure domain. Invariant: level + outstanding + reservedForTransfers <= burst x share. */
 struct Bucket
 {
     Tokens rate = 0; /**< Fleet-wide, tokens per second. */
     Tokens burst = 0; /**< Fleet-wide. */
     Tokens level = 0;
-    Tokens outstanding = 0; /**< Handed out and not yet reported as spent or returned. */
-    Tokens reservedForTransfers = 0; /**< Room kept for transfers that were asked for; what is under way is never more. */
-    Tokens refundsCredited = 0; /**< Total; a refund beyond the capacity is lost. */
+    Tokens outstanding = 0; /**< Granted and not yet reported as spent or returned. */
+    Tokens reservedForTransfers = 0; /**< Capacity reserved for requested transfers; tokens in transit never exceed it. */
+    Tokens refundsCredited = 0; /**< Total since creation; refunds beyond the capacity are dropped. */
     TimePoint refilledAt{};
-    bool hasUnmetNeeds = false; /**< Some holder has an unmet need. */
+    bool hasUnmetNeeds = false; /**< Some holder needs more than it was granted. */
 };
 
-/** One account of a session as the owner knows it. */
+/** Bucket owner's view of one account of a holder's session. */
 struct HolderAccount
 {
     LeaseWish wish;
     Tokens granted = 0;
-    std::uint64_t recall = 0; /**< Not 0: to be sent with the next grant. */
+    std::uint64_t recall = 0; /**< Recall priority to send with the next grant; 0: none. */
     TimePoint recalledAt{};
-    TimePoint pushedAt{}; /**< Last grant for a need. */
-    bool changed = false; /**< Must be told to the holder. */
+    TimePoint pushedAt{}; /**< Last grant that served an unmet need. */
+    bool changed = false; /**< The next grant must contain the account. */
 };
 
+/** Lease session of one process that holds tokens. */
 struct Holder
 {
     LeaseSession session;
@@ -43,7 +44,7 @@
     std::unordered_map<AccountId, HolderAccount> accounts;
 };
 
-/** An account of a holder that must be told something. */
+/** Account whose state must be sent to its holder. */
 struct LeaseChange
 {
     std::uint64_t process = 0;
@@ -56,33 +57,33 @@
     DomainId domain{};
     InstanceId owner{};
     FencingNumber epoch = 0;
-    std::uint64_t requestSequence = 0; /**< Of the last request sent. */
-    std::uint64_t answeredSequence = 0; /**< Of the last request of the peer that was answered. */
+    std::uint64_t requestSequence = 0; /**< Sequence number of the last request sent. */
+    std::uint64_t answeredSequence = 0; /**< Sequence number of the peer's last request that was answered. */
     TimePoint requestedAt{};
-    TimePoint backoffUntil{}; /**< Not asked before; set when a request stays without an answer. */
-    std::vector<TransferWish> pending; /**< Of the request without an answer. */
+    TimePoint backoffUntil{}; /**< No request before this time; set when a request times out. */
+    std::vector<TransferWish> pending; /**< Content of the unanswered request. */
 };
 
-/** All buckets of one failure domain. Exists on each instance of the domain; only the owner's is active. */
+/** All token buckets of one failure domain. Every instance of the domain has one; only that of the owner is active. */
 struct BucketOwner
 {
     DomainId domain{};
     FencingNumber epoch = 0; /**< 0: this instance is not the owner. */
-    TimePoint grantsStartAt{}; /**< Before this time the old owner's leases may be valid, and nothing is handed out. */
-    double share = 0; /**< In force. */
-    double raisedShare = 0; /**< Takes force at raiseAt when it is above `share`. */
+    TimePoint grantsStartAt{}; /**< No grants before this time, because leases of the previous owner may still be valid. */
+    double share = 0; /**< Share of rate and burst in effect. */
+    double raisedShare = 0; /**< Takes effect at raiseAt when it is above `share`. */
     TimePoint raiseAt{};
-    Version configuration = 0; /**< Version in force. */
+    Version configuration = 0; /**< Version in effect. */
     std::unordered_map<AccountId, Bucket> buckets;
-    std::unordered_map<std::uint64_t, Holder> holders; /**< By process number. */
+    std::unordered_map<std::uint64_t, Holder> holders; /**< By process number; 0 stands for the leases of the previous owner. */
     std::vector<BucketPeer> peers;
     std::size_t nextPeer = 0;
-    TimePoint transferAt{}; /**< Next request for transfers. */
+    TimePoint transferAt{}; /**< Time of the next transfer request. */
     InstanceId self{};
     std::vector<LeaseChange> changes; /**< Emptied before each function returns. */
 };
 
-/** Balance that a graceful handover moves to the next owner. */
+/** Bucket levels and outstanding tokens that a graceful handover passes to the next owner. */
 struct BucketHandover
 {
     struct Item
@@ -92,7 +93,7 @@
         Tokens outstanding = 0;
     };
     DomainId domain{};
-    Duration untilGrantsStart{}; /**< Rest of the old owner's own wait for leases of its predecessor. */
+    Duration untilGrantsStart{}; /**< Time that the previous owner itself still had to wait for leases of its predecessor. */
     std::vector<Item> items;
 };
 
@@ -102,41 +103,41 @@
     std::variant<TransferRequest, TransferReply> message;
 };
 
-/** Messages to send. The functions below only append. */
+/** Messages to send. Functions append to it and never clear it. */
 struct BucketActions
 {
     std::vector<TokenGrant> grants; /**< To session.holder. */
     std::vector<OutgoingTransfer> transfers;
 };
 
-/** A share is raised only after every instance has provably lowered the others: freshness lease, quota lease and margin. */
+/** A raised share takes effect after the others were lowered on every instance: freshness lease, quota lease and margin. */
 inline constexpr Duration shareRaiseDelay = milliseconds(12'500);
 
-/** Applies rates, bursts and the share. Lower values hold at once; nothing creates tokens. */
+/** Applies rates, bursts and the share. Lower values take effect at once. No change creates tokens. */
 void applyConfiguration(BucketOwner &owner, const control::Configuration &configuration, TimePoint now);
 
 /**
- * Starts ownership with empty buckets. @p oldLeaseEnd is when the old owner's lease has ended at the latest; handing out
- * starts one quota lease (with margin) later.
+ * Starts ownership with empty buckets. @p oldLeaseEnd is the latest time at which the previous owner's lease ends; grants start
+ * one quota lease (with margin) later.
  */
 void startOwnership(BucketOwner &owner, FencingNumber epoch, TimePoint oldLeaseEnd, TimePoint now);
 
-/** Starts ownership with the balance of the old owner, which has stopped. */
+/** Starts ownership with the balance of the previous owner, which has stopped. */
 void startOwnership(BucketOwner &owner, FencingNumber epoch, const BucketHandover &handover, TimePoint now);
 
-/** Ends ownership and returns the balance; a lost balance loses tokens only. */
+/** Ends ownership and returns the balance. A lost balance loses tokens but never creates any. */
 [[nodiscard]] BucketHandover stopOwnership(BucketOwner &owner, TimePoint now);
 
-/** Tells who owns the buckets of another failure domain. */
+/** Sets the bucket owner of another failure domain. */
 void setPeer(BucketOwner &owner, DomainId domain, InstanceId instance, FencingNumber epoch, TimePoint now);
 
-/** Messages of another epoch, of an earlier session or with an old sequence number are ignored. */
+/** Handles a message. Messages of another epoch, of an earlier session or with an old sequence number are ignored. */
 void handle(BucketOwner &owner, const TokenRequest &request, TimePoint now, BucketActions &out);
 void handle(BucketOwner &owner, const TokenReport &report, TimePoint now, BucketActions &out);
 void handle(BucketOwner &owner, const TransferRequest &request, TimePoint now, BucketActions &out);
 void handle(BucketOwner &owner, const TransferReply &reply, TimePoint now, BucketActions &out);
 
-/** Ends expired leases, serves unmet needs from the refill and balances with the peers. Call about every 20 ms. */
+/** Ends expired sessions, serves unmet needs from the refill and requests transfers from peers. Call about every 20 ms. */
 void tick(BucketOwner &owner, TimePoint now, BucketActions &out);
 
 } // namespace mimosahollow::admission
--- a/include/mimosahollow/admission/retrybudget.h
+++ b/include/mimosahollow/admission/retrybudget.h
@@ -2,20 +2,21 @@
 
 namespace mimosahollow::admission {
 
-/** Retries that a quiet period may save up; a larger reserve allows a burst of retries at the start of an outage. */
+/** Retries that can accumulate while few are used. Limits the burst of retries at the start of an outage. */
 inline constexpr double retryReserve = 10;
 
-/** Bounds retries to a part of the requests, so that retries cannot multiply the load of an outage. */
+/** Limits retries to a fraction of the requests, so that they cannot multiply the load during an outage. */
 struct RetryBudget
 {
-    double ratio = 0.1; /**< Retries allowed for each request. */
-    double balance = 1; /**< Retries allowed now. */
-    double reserve = retryReserve; /**< Largest balance. */
+    double ratio = 0.1; /**< Retries added to the balance by each request. */
+    double balance = 1; /**< Retries that may be taken now. */
+    double reserve = retryReserve; /**< Upper limit of the balance. */
 };
 
+/** Adds the retries that one request allows. */
 void countRequest(RetryBudget &budget) noexcept;
 
-/** Takes one retry from the budget; false when it is used up. */
+/** Takes one retry from the budget. Returns false when the budget is exhausted. */
 [[nodiscard]] bool takeRetry(RetryBudget &budget) noexcept;
 
 } // namespace mimosahollow::admission
--- a/include/mimosahollow/admission/tokens.h
+++ b/include/mimosahollow/admission/tokens.h
@@ -7,16 +7,16 @@
 
 namespace mimosahollow::admission {
 
-/** Amount of tokens. A floating point number, because a failure domain's part of a burst need not be whole. */
+/** Amount of tokens. Floating point, because the share of a failure domain need not be a whole number. */
 using Tokens = double;
 
-/** Account of a token bucket: the load bucket of the weight store, or the number of an organisation. */
+/** Account of a token bucket: 0 limits adapter loads from the weight store, others are organisation numbers. */
 enum class AccountId : std::uint32_t {};
 
-/** The load bucket of the weight store. */
+/** Limits adapter loads from the weight store. */
 inline constexpr AccountId loadAccount{0};
 
-/** Cost of one load in the load account. */
+/** Tokens of the load account that one load costs. */
 inline constexpr Tokens loadCost = 1;
 
 [[nodiscard]] constexpr AccountId accountOf(OrganisationId organisation) noexcept
@@ -24,13 +24,13 @@
     return static_cast<AccountId>(number(organisation));
 }
 
-/** Rounding error that sums of amounts may carry; far below one token. */
+/** Rounding error allowed in sums of amounts; far below one token. */
 inline constexpr Tokens tokenTolerance = 1e-6;
 
-/** Validity of a quota lease, counted by the holder from the time it sent its request. */
+/** Duration of a quota lease; for the holder it starts when it sends its request. */
 inline constexpr Duration quotaLease = milliseconds(2000);
 
-/** What the bucket owner adds when it counts the same lease from its answer; covers drift of the two clocks. */
+/** Added by the bucket owner, for which the lease starts with its answer; covers drift between the two clocks. */
 inline constexpr Duration quotaLeaseMargin = milliseconds(500);
 
 } // namespace mimosahollow::admission
--- a/include/mimosahollow/admission/transfermessages.h
+++ b/include/mimosahollow/admission/transfermessages.h
@@ -8,7 +8,7 @@
 
 namespace mimosahollow::admission {
 
-/** Names both bucket owners of a transfer; a message for another epoch of either is ignored. */
+/** Identifies the two bucket owners of a transfer. A message with another epoch of either owner is ignored. */
 struct TransferHeader
 {
     DomainId from{};
@@ -16,23 +16,23 @@
     InstanceId sender{};
     FencingNumber fromEpoch = 0;
     FencingNumber toEpoch = 0;
-    std::uint64_t sequence = 0; /**< Of the request; the reply repeats it and is accepted once. */
+    std::uint64_t sequence = 0; /**< Number of the request; the reply repeats it and is accepted once. */
 
     friend bool operator==(const TransferHeader &, const TransferHeader &) = default;
 };
 
-/** State of one bucket that asks for tokens. */
+/** State of a bucket for which tokens are requested. */
 struct TransferWish
 {
     AccountId account{};
     Tokens level = 0;
     Tokens capacity = 0;
-    Tokens room = 0; /**< Most that may be sent. */
+    Tokens room = 0; /**< Upper limit of the transferred amount. */
 
     friend bool operator==(const TransferWish &, const TransferWish &) = default;
 };
 
-/** Asks the bucket owner of another failure domain to balance the levels. */
+/** Requests tokens from the bucket owner of another failure domain, to balance the levels. */
 struct TransferRequest
 {
     TransferHeader header;
@@ -41,6 +41,7 @@
     friend bool operator==(const TransferRequest &, const TransferRequest &) = default;
 };
 
+/** Tokens transferred for one account. */
 struct TransferItem
 {
     AccountId account{};
@@ -49,7 +50,7 @@
     friend bool operator==(const TransferItem &, const TransferItem &) = default;
 };
 
-/** Tokens that the sender has already subtracted. A lost reply loses them. */
+/** Transferred tokens, already subtracted by the sender. They are lost if the reply is lost. */
 struct TransferReply
 {
     TransferHeader header;
--- a/include/mimosahollow/allowance/quotacache.h
+++ b/include/mimosahollow/allowance/quotacache.h
@@ -12,12 +12,15 @@
 
 struct QuotaCacheOptions
 {
-    /** Held tokens can be used in the window after the one in which they were granted; the tolerance of 10% of a window of 8 s bounds them. */
+    /**
+     * Tokens are held for the demand of this time. They can be spent one window after the one they were granted in, so that the
+     * tolerance of 10% of a window of 8 s bounds them.
+     */
     Duration reserve = milliseconds(400);
-    Duration history = seconds(8); /**< For how long spending is remembered, for a new leader; the window of the bank. */
-    Duration historyStep = milliseconds(250); /**< Spending is remembered in sums of this length. */
-    Duration lifetime = seconds(1); /**< Unused tokens expire, so that those of a stopped instance are not spent much later. */
-    Duration smoothing = seconds(1); /**< Averaging time of the demand. */
+    Duration history = seconds(8); /**< Spending of this time is kept for a new leader; equals the window of the rate limiter. */
+    Duration historyStep = milliseconds(250); /**< Spending within one step is recorded as one sum. */
+    Duration lifetime = seconds(1); /**< Unused tokens expire after this time, so that a paused instance does not spend them much later. */
+    Duration smoothing = seconds(1); /**< Time constant of the demand estimate. */
 };
 
 /** Tokens spent within one step of the history. */
@@ -27,42 +30,44 @@
     double tokens = 0;
 };
 
-/** Granted tokens of one organisation at this entry instance. */
+/** Tokens of one organisation that this entry instance holds. */
 struct CachedQuota
 {
     double tokens = 0;
     TimePoint grantedAt{};
-    double demandPerSecond = 0; /**< Of all calls, also those that were refused. */
+    double demandPerSecond = 0; /**< Includes calls that were refused. */
     TimePoint demandUpdatedAt{};
     std::deque<Spending> spent; /**< Newest last. */
-    double expired = 0; /**< Unspent tokens for the leader to take back. */
-    double shortfall = 0; /**< Tokens that waiting calls lack. */
+    double expired = 0; /**< Expired tokens that have not been returned to the leader yet. */
+    double shortfall = 0; /**< Tokens that waiting calls still need. */
 };
 
+/** Tokens that this entry instance obtained from the leader's rate limiter, by organisation. Admits calls without a round trip. */
 struct QuotaCache
 {
     QuotaCacheOptions options;
     std::map<std::string, CachedQuota, std::less<>> quotas;
 };
 
-/** Counts a call of @p organisation into its demand. Call once for each call. */
+/** Adds a call to the demand estimate of @p organisation; once for each call. */
 void recordDemand(QuotaCache &cache, std::string_view organisation, double tokens, TimePoint now);
 
-/** Takes @p tokens for a call. Returns false, and takes nothing, when too few are held. */
+/** Spends @p tokens for a call. Returns false and spends nothing when fewer are held. */
 [[nodiscard]] bool spend(QuotaCache &cache, std::string_view organisation, double tokens, TimePoint now);
 
-/** Gives back tokens of a call that has not run. */
+/** Returns the tokens of a call that has not run to the cache. */
 void refund(QuotaCache &cache, std::string_view organisation, double tokens);
 
+/** Adds tokens granted by the leader; the lifetime of all held tokens starts again at @p now. */
 void addGrant(QuotaCache &cache, std::string_view organisation, double tokens, TimePoint now);
 
-/** Ends tokens that were held for too long. Returns what the leader is to take back. */
+/** Expires tokens held beyond their lifetime. Returns the amount to return to the leader; each amount is reported once. */
 [[nodiscard]] double takeExpired(const QuotaCache &cache, CachedQuota &quota, TimePoint now);
 
-/** What @p purse has spent within the history, and holds, for a leader that does not know it. */
+/** Tokens spent within the history and those still held, for a new leader that has no record of them. */
 [[nodiscard]] std::vector<Spending> spendingHistory(const QuotaCache &cache, const CachedQuota &quota, TimePoint now);
 
-/** Tokens to ask the leader for. */
+/** Tokens to request from the leader: the reserve and the shortfall, less the tokens held. */
 [[nodiscard]] double tokensToRequest(const QuotaCache &cache, const CachedQuota &quota, TimePoint now);
 
 } // namespace mimosahollow::allowance
--- a/include/mimosahollow/allowance/ratelimiter.h
+++ b/include/mimosahollow/allowance/ratelimiter.h
@@ -15,10 +15,10 @@
 
 struct RateLimiterOptions
 {
-    Duration window = seconds(8); /**< In any span of this length, an organisation gets its rate times the span, and its burst. */
-    /** A new leader grants nothing before: the entry instances tell it meanwhile what they have spent. Several reports long. */
+    Duration window = seconds(8); /**< Sliding window; within it an organisation is granted at most rate x window + burst. */
+    /** A new leader grants nothing for this time while entry instances report what they have spent; several report intervals. */
     Duration takeoverDelay = milliseconds(700);
-    Duration step = milliseconds(100); /**< Grants are kept in sums of this length; each adds to the span that they count in. */
+    Duration step = milliseconds(100); /**< Grants within one step are recorded as one sum, which stays in the window for up to one step longer. */
 };
 
 /** Tokens granted within one step. */
@@ -28,38 +28,39 @@
     double tokens = 0;
 };
 
-/** What one organisation was granted within the last window. */
+/** Rate, burst and the grants of the last window of one organisation. */
 struct RateLimitAccount
 {
     double ratePerSecond = 0;
     double burst = 0;
-    double granted = 0; /**< Sum of the grants below. */
+    double granted = 0; /**< Sum of `grants`. */
     std::deque<GrantSum> grants;
 };
 
 /**
- * The leader's accounts, one for each organisation with a rate. Grants of all entry instances come from them.
+ * Sliding-window rate limiter of the leader, with one account for each organisation that has a rate. All entry instances obtain
+ * their grants from it.
  *
- * Answers an organisation that asks for more than its rate for long: a sliding window gives it all that it may have, where a
- * bucket that has run empty gives the burst only once.
+ * Under sustained overload a sliding window grants the full limit in every window, whereas a token bucket that has run empty
+ * grants the burst only once.
  */
 struct RateLimiter
 {
     RateLimiterOptions options;
-    TimePoint grantsStartAt{}; /**< Nothing is granted before. */
+    TimePoint grantsStartAt{}; /**< No grants before this time. */
     std::map<std::string, RateLimitAccount, std::less<>> accounts;
 };
 
-/** Takes over the rates of @p catalog. */
+/** Applies the rates and bursts of @p catalog. Grants of organisations that keep a rate are retained. */
 void configure(RateLimiter &limiter, const catalog::Catalog &catalog);
 
-/** An entry instance returns tokens that it has not spent. */
+/** Credits tokens that an entry instance returns unspent. */
 void returnTokens(RateLimiter &limiter, std::string_view organisation, double tokens);
 
-/** An entry instance has spent @p tokens of a grant of an earlier leader, @p age ago, or holds them still. */
+/** Counts @p tokens that an earlier leader granted and an entry instance spent @p age ago or still holds. */
 void recordPastUse(RateLimiter &limiter, std::string_view organisation, double tokens, Duration age, TimePoint now);
 
-/** Grants up to @p wish tokens. Returns 0 for an organisation without an account. */
+/** Grants up to @p requested tokens and returns the amount. Returns 0 for an organisation without an account. */
 [[nodiscard]] double grant(RateLimiter &limiter, std::string_view organisation, double requested, TimePoint now);
 
 } // namespace mimosahollow::allowance
--- a/src/admission/leaseinternal.h
+++ b/src/admission/leaseinternal.h
@@ -6,7 +6,7 @@
 
 namespace mimosahollow::admission {
 
-/** A bucket owner without an answer for this time is taken for unreachable. */
+/** A bucket owner that does not answer within this time counts as unreachable. */
 inline constexpr Duration unreachableAfter = milliseconds(1000);
 
 [[nodiscard]] inline Tokens availableIn(const Lease &lease) noexcept
@@ -24,19 +24,19 @@
     return source.awaitingAnswer && now - source.unansweredSince > unreachableAfter;
 }
 
-/** Position of the current source of the home domain is 0 when it exists. */
+/** True for the current owner of the home domain, which is at position 0 of the sources if it is known. */
 [[nodiscard]] inline bool isHome(const QuotaLeases &leases, const LeaseSource &source) noexcept
 {
     return source.domain == leases.home && !source.retired;
 }
 
-/** The lease of @p account, created when it is missing. */
+/** Returns the lease of @p account, creating it if needed. */
 Lease &leaseOf(LeaseSource &source, AccountId account);
 
-/** Notes that the owner must be told about the account, at once or with the next tick. */
+/** Queues the account for the next message to the owner, which is sent at the next tick or, if @p urgent, before it. */
 void queueChange(LeaseSource &source, AccountId account, Lease &lease, bool urgent = false);
 
-/** Takes the cost from the leases; false when they hold too little. */
+/** Spends the cost from the leases. Returns false when they hold too few tokens. */
 bool spend(QuotaLeases &leases, AccountId account, Tokens cost, TimePoint now);
 
 /** Adds a call to the demand estimate. */
@@ -45,20 +45,20 @@
 /** Demand in tokens per second, decayed to @p now. */
 [[nodiscard]] double demandAt(const LeaseAccount &account, TimePoint now);
 
-/** Tokens to hold in @p source for the next few hundred milliseconds. */
+/** Tokens to prefetch from @p source for the calls of the next few hundred milliseconds. */
 [[nodiscard]] Tokens prefetchTarget(const QuotaLeases &leases, const LeaseSource &source, const LeaseAccount &account, TimePoint now);
 
-/** Decides how much to ask of each source for the waiting calls, and lists what changed. */
+/** Computes how much to request from each source for the waiting calls, and queues the changes. */
 void planRequests(QuotaLeases &leases, AccountId id, LeaseAccount &account, TimePoint now);
 
-/** Shortest time in which @p needed tokens can come together; empty when a single @p cost cannot at all. */
+/** Shortest time until @p needed tokens can be available; empty when they, or @p cost alone, are out of reach. */
 [[nodiscard]] std::optional<Duration>
 timeToReach(const QuotaLeases &leases, AccountId id, const LeaseAccount &account, Tokens cost, Tokens needed, TimePoint now);
 
-/** Ends the session at this holder: its tokens are given up. */
+/** Drops the session of this holder together with its tokens. */
 void dropSession(LeaseSource &source);
 
-/** Sends what is listed and due renewals; between ticks only where something is urgent. */
+/** Sends queued changes and due renewals; between ticks only to owners with an urgent change. */
 void flush(QuotaLeases &leases, TimePoint now, bool atTick, LeaseActions &out);
 
 } // namespace mimosahollow::admission
--- a/tests/admission/ratechecker.h
+++ b/tests/admission/ratechecker.h
@@ -6,13 +6,13 @@
 
 namespace mimosahollow::tests {
 
-/** Checks P6 in every window of a history: spending <= rate x length + burst. A credited refund is negative spending. */
+/** Checks the rate limit (P6) over all windows of a history: spending <= rate x length + burst. Refunds are negative spending. */
 struct RateChecker
 {
     double rate = 0;
     double burst = 0;
-    double excess = 0; /**< Largest spending of a window that ends now, minus rate x length. */
-    double worst = 0; /**< Largest excess so far; P6 holds while it is at most the burst. */
+    double excess = 0; /**< Maximum of spending minus rate x length over the windows that end now. */
+    double worst = 0; /**< Largest excess so far; the limit (P6) holds while it is at most the burst. */
     TimePoint last{};
 
     void add(TimePoint now, double amount)
@@ -24,7 +24,7 @@
 
     [[nodiscard]] bool holds() const
     {
-        // Sums of floating point amounts; far below one token.
+        // The tolerance covers rounding of floating point sums; it is far below one token.
         return worst <= burst + 1e-3;
     }
 };
--- a/tests/admission/tokenfleet.h
+++ b/tests/admission/tokenfleet.h
@@ -20,15 +20,15 @@
 inline constexpr OrganisationId organisation{1};
 inline constexpr AccountId account = accountOf(organisation);
 
-/** Faults of the fake network, as probabilities for each message. */
+/** Faults of the simulated network, as probabilities for each message. */
 struct NetworkFaults
 {
     double loss = 0;
     double duplication = 0;
-    double delayed = 0; /**< Delayed by up to 4 s instead of 1 to 3 ms. */
+    double delayed = 0; /**< The message takes up to 4 s instead of 1 to 3 ms. */
 };
 
-/** Deliberate breaks of the rule, to show that the checker notices them. */
+/** Injected violations of the token rules, to verify that the checker detects them. */
 enum class Mutant { None, RefillsWhileOutstanding, NewOwnerStartsFull, HolderIgnoresExpiry, TransferNotSubtracted };
 
 struct TestInstance
@@ -56,7 +56,7 @@
     AccountId account = tests::account;
 };
 
-/** Instances of several failure domains, their network and the ledger of one organisation. */
+/** Simulated instances of several failure domains, their network and the spending of one organisation. */
 struct TokenFleet
 {
     using Payload = std::variant<TokenRequest, TokenReport, TokenGrant, TransferRequest, TransferReply>;
@@ -76,10 +76,11 @@
 
     TokenFleet(std::size_t domains, std::size_t perDomain, double rate, double burst, std::uint64_t seed);
 
-    void advance(Duration time); /**< In steps of 1 ms; a tick every 20 ms. */
+    void advance(Duration time); /**< Advances the simulated time in steps of 1 ms, with a tick every 20 ms. */
     void call(std::size_t instance, double cost, double used, Duration timeout);
-    void callAccount(std::size_t instance, AccountId account, double cost, Duration timeout); /**< Counted in ranLoads, not in the ledger. */
-    void crash(std::size_t instance); /**< Restarts at once with a new process number and no state. */
+    void
+    callAccount(std::size_t instance, AccountId account, double cost, Duration timeout); /**< Calls of the load account count in ranLoads, not in `ledger`. */
+    void crash(std::size_t instance); /**< Restarts the instance at once with a new process number and without state. */
     void changeOwner(std::size_t domain, bool graceful);
     void configure(double rate, double burst);
     void partition(std::size_t domain, bool isolated);
@@ -89,7 +90,7 @@
     Mutant mutant = Mutant::None;
     control::Configuration configuration;
     std::vector<TestInstance> instances;
-    std::vector<std::size_t> owners; /**< Instance that owns the buckets, by domain. */
+    std::vector<std::size_t> owners; /**< Index of the instance that owns the buckets, by domain. */
     std::vector<bool> partitioned;
     std::priority_queue<Packet> network;
     std::multimap<TimePoint, RunningReservation> running;
