--- a/src/coordination/commands.cpp
+++ b/src/coordination/commands.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// An election takes up to about 600 ms; resending more often only adds messages.
+// An election takes up to about 600 ms, so a shorter interval would only add messages.
 constexpr Duration resendInterval = milliseconds(300);
 constexpr Duration registrationInterval = seconds(1);
 constexpr Duration registrationTimeout = seconds(10);
-// First byte of a reply: whether the change is known to be in force everywhere.
+// First byte of a reply payload. Set if every instance has applied the change or has an expired freshness lease.
 constexpr std::uint8_t inForceEverywhereFlag = 1;
 
 void finishCommand(
@@ -26,7 +26,7 @@
     state.commands.erase(found);
 }
 
-/** Whether a resent command has its place in the log already, so that resending during a long wait does not fill the log. */
+/** Whether a command is already in the log of this leader. Commands that are resent during a long wait must not fill the log. */
 bool isPending(const VoterState &voter, std::string_view peer, std::uint64_t sequence)
 {
     const auto matches = [&](const auto &awaited) {
@@ -38,7 +38,7 @@
     return proposed || std::any_of(voter.unacknowledgedChanges.begin(), voter.unacknowledgedChanges.end(), matches);
 }
 
-/** Proposes the command here when this voter leads, otherwise sends it towards the leader. */
+/** Proposes the command if this voter is the leader; otherwise sends it towards the leader. */
 void sendCommand(CoordinationState &state, std::uint64_t sequence, TimePoint now, Actions &actions)
 {
     OutstandingCommand &outstanding = state.commands.at(sequence);
@@ -87,7 +87,7 @@
 void onCommand(CoordinationState &state, const std::string &peer, const membership::Command &command, TimePoint now, Actions &actions)
 {
     if (!isLeader(state) || isPending(*state.voter, peer, command.sequence)) {
-        return; // the sender sends again when it knows the leader
+        return; // the sender resends it until its deadline
     }
     auto decoded = link::decodeCommand(command.payload);
     auto *content = std::get_if<control::Command>(&decoded);
--- a/src/coordination/coordination.cpp
+++ b/src/coordination/coordination.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Ids of token buckets; far above the ids of pools, which the state machine counts from 1.
+// Base of the pool ids that stand for token buckets. Far above the ids of pools, which the state machine assigns from 1.
 constexpr std::uint32_t bucketPoolBase = 0x8000'0000U;
 
 CoordinationState makeState(const Options &options, TimePoint now)
@@ -104,7 +104,7 @@
     state.peersUp.insert(peer.name);
     membership::recordInstance(state.view, peer, now);
     if (peer.name == state.upstream) {
-        state.upstream.clear(); // subscribes again: the connection is a new one
+        state.upstream.clear(); // the connection is new, so the subscription must be renewed
     }
     static_cast<void>(actions);
 }
@@ -114,7 +114,7 @@
     state.peersUp.erase(peer);
     membership::removeSubscriber(state.feed, peer);
     if (peer == state.view.leader) {
-        state.view.leader.clear(); // another voter may lead; heartbeats and updates tell
+        state.view.leader.clear(); // another voter may become leader; heartbeats and updates carry its name
     }
     if (peer == state.upstream) {
         state.upstream.clear();
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -10,7 +10,10 @@
 
 constexpr Duration assignmentInterval = milliseconds(100);
 
-/** Whether @p command is acknowledged only when it is in force everywhere. Records of calls concern no configuration. */
+/**
+ * Whether @p command is acknowledged only after every instance has applied it or has an expired freshness lease. Records of calls do
+ * not change the configuration.
+ */
 bool mustBeInForceEverywhere(const control::Command &command)
 {
     return !std::holds_alternative<control::BeginCall>(command.body) && !std::holds_alternative<control::CompleteCall>(command.body)
@@ -26,7 +29,7 @@
         return;
     }
     control::Command command;
-    // The same id from every leader, so that a second leader of a new fleet cannot apply the bundle again.
+    // Every leader uses the same id, so that the second leader of a new fleet cannot apply the bundle again.
     command.id = {0, 1};
     command.sender = "bootstrap";
     command.body = control::ApplyBundle{0, state.options.initialBundle, "bootstrap", "bootstrap", {}};
@@ -75,7 +78,7 @@
     voter.leader = membership::makeLeaderState(term, state.options.times, voter.control.applied, registered, assignments, now);
     voter.pendingAssignments.clear();
     state.view.leader = state.options.name;
-    actions.push_back(Notice{"leads the replicated log in term " + std::to_string(term)});
+    actions.push_back(Notice{"became leader of the replicated log in term " + std::to_string(term)});
     proposeInitialBundle(state, now, actions);
 }
 
@@ -83,7 +86,7 @@
 {
     VoterState &voter = *state.voter;
     voter.leader.reset();
-    // The senders of these commands send them again, under the same command ids, to the next leader.
+    // The senders resend these commands to the next leader with the same command ids.
     voter.proposals.clear();
     voter.unacknowledgedChanges.clear();
     voter.reads.clear();
@@ -139,7 +142,7 @@
     const PendingProposal proposal = found->second;
     voter.proposals.erase(found);
     if (proposal.term != term) {
-        return; // another leader's entry stands at this position; the sender sends its command again
+        return; // an entry of another leader was committed at this index; the sender resends its command
     }
     if (result.outcome == control::CommandOutcome::Accepted && mustBeInForceEverywhere(command)) {
         voter.unacknowledgedChanges.push_back({index, proposal.peer, proposal.sequence, result});
--- a/src/coordination/leases.cpp
+++ b/src/coordination/leases.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Orders of an earlier owner can arrive until the load timeout has passed (docs/design.md, section 15).
+// Orders of the previous owner can arrive until the load timeout has expired (docs/design.md, section 15).
 constexpr Duration maximumOrderDelay = seconds(5);
 
 bool isBucketPool(PoolId pool, DomainId home)
@@ -60,7 +60,7 @@
 {
     std::vector<membership::PoolAssignment> assignments;
     assignments.reserve(configuration.pools.size() + configuration.bucketOwners.size());
-    // The fencing number is the log index of the assignment.
+    // The fencing number of an assignment is its log index.
     for (const control::Pool &pool : configuration.pools) {
         assignments.push_back({pool.id, pool.domain, pool.owner, pool.fencing, pool.fencing, 0});
     }
--- a/src/coordination/upstream.cpp
+++ b/src/coordination/upstream.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// An upstream instance that passes on neither leases nor updates for this long is replaced. Heartbeats do not count: two instances
-// that follow each other would never notice. Three renewal intervals of 1 s.
+// An upstream instance that forwards neither lease renewals nor updates for this long is replaced: three renewal intervals of 1 s.
+// Heartbeats do not count, since two instances that subscribe to each other would never detect the cycle.
 constexpr Duration upstreamTimeout = seconds(3);
 
 const control::Instance *ownRegistration(const CoordinationState &state, const control::Configuration &configuration)
@@ -98,11 +98,11 @@
     send(state, state.upstream, membership::Subscribe{state.self, state.options.incarnation, next}, actions);
 }
 
-/** Applies one increment of the feed; false when it does not continue the configuration in force here. */
+/** Applies one increment of the feed. Returns false if it does not follow on the current configuration. */
 bool applyIncrement(CoordinationState &state, const membership::Increment &increment, TimePoint now, Actions &actions)
 {
     if (increment.payload.empty()) {
-        return true; // an entry that changed no configuration
+        return true; // the log entry did not change the configuration
     }
     const auto decoded = link::decodeIncrement(increment.payload);
     const auto *change = std::get_if<control::Increment>(&decoded);
@@ -126,7 +126,7 @@
         return false;
     }
     membership::setSnapshot(state.feed, snapshot.index, snapshot.payload);
-    // A relay that restarted may be behind; what is in force here never reverts.
+    // A restarted relay may be behind this instance; the current configuration never reverts to an older one.
     if (!state.configuration || (*configuration)->logIndex >= state.configuration->logIndex) {
         activateConfiguration(state, std::move(*configuration), now, actions);
     }
--- a/src/coordination/voter.cpp
+++ b/src/coordination/voter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A snapshot of 93,000 adapters takes tens of milliseconds, and a log of this length is read back in about as long.
+// In log entries. Encoding a snapshot of 93,000 adapters takes tens of milliseconds; replaying this many entries takes about as long.
 constexpr control::LogIndex snapshotInterval = 4096;
 
 void applyCommand(CoordinationState &state, const control::LogEntry &entry, TimePoint now, Actions &actions)
@@ -55,7 +55,7 @@
 {
     auto decoded = control::decodeSnapshot(*snapshot.data);
     if (const auto *error = std::get_if<control::SnapshotError>(&decoded)) {
-        actions.push_back(Notice{"snapshot of the leader is damaged: " + error->message});
+        actions.push_back(Notice{"snapshot received from the leader cannot be decoded: " + error->message});
         control::snapshotRefused(state.voter->consensus);
         return;
     }
@@ -111,7 +111,7 @@
     }
     void operator()(const control::BecameLeader &) const
     {
-        // The duties of a leader begin when an entry of its own term is applied: only then it knows all committed entries.
+        // A new leader starts its work in applyCommand(), once an entry of its own term is applied: only then it knows all committed entries.
     }
     void operator()(const control::LostLeadership &) const
     {
--- a/tests/coordination/fakefleet.h
+++ b/tests/coordination/fakefleet.h
@@ -14,7 +14,7 @@
 
 namespace mimosahollow::coordination {
 
-/** The control parts of a fleet in one thread: messages take 1 ms, writes are durable at once and survive a crash. */
+/** Simulates the control plane of a fleet in one thread. Messages take 1 ms; writes are durable immediately and survive a crash. */
 class FakeFleet
 {
 public:
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Cuts the instances off from all others; among themselves they stay connected. */
+    /** Partitions the given instances from all others; they stay connected to each other. */
     void isolate(const std::set<std::string> &names)
     {
         m_isolated = names;
@@ -96,6 +96,7 @@
         }
     }
 
+    /** Ends the partition. */
     void heal()
     {
         const std::set<std::string> isolated = std::move(m_isolated);
@@ -233,7 +234,7 @@
         } else if (auto *order = std::get_if<StorageOrder>(&action)) {
             store(node, *order, newActions);
         } else if (const auto *changed = std::get_if<ConfigurationChanged>(&action)) {
-            // What is in force never reverts (P14).
+            // A configuration that an instance has applied never reverts to an older one (P14).
             REQUIRE((!node.configuration || node.restarted || changed->configuration->logIndex >= node.configuration->logIndex));
             node.configuration = changed->configuration;
         } else if (const auto *freshness = std::get_if<FreshnessChanged>(&action)) {
@@ -275,7 +276,7 @@
         }
     }
 
-    /** No pool has two owners at any time. */
+    /** Fails the test if a pool has two owners. */
     void check()
     {
         std::map<PoolId, std::string> owners;
--- a/tests/coordination/fleet.cpp
+++ b/tests/coordination/fleet.cpp
@@ -53,14 +53,15 @@
 }
 
 constexpr std::size_t instanceCount = 7;
-constexpr std::size_t poolCount = 6; // a pool and the token buckets in each of three failure domains
-// An election takes up to 0.6 s, a lease renewal up to 1 s, and a relay that is gone is noticed after 2 s.
+constexpr std::size_t poolCount = 6; // one pool and one set of token buckets in each of three failure domains
+// An election takes up to 0.6 s, a lease renewal up to 1 s, and the loss of a relay is detected after 2 s.
 constexpr Duration recoveryTime = seconds(8);
 
 } // namespace
 
-// Guards against a control plane that does not recover, has two owners of a pool, or acknowledges too early.
-TEST_CASE("A fleet of seven instances in three failure domains")
+// Guards against a control plane that does not recover after crashes and partitions, lets two instances own a pool at once, or
+// acknowledges a change while an instance with a valid freshness lease has not applied it.
+TEST_CASE("Control plane of seven instances in three failure domains")
 {
     FakeFleet fleet(smallBundle());
     fleet.run(seconds(12));
@@ -68,7 +69,7 @@
     REQUIRE(freshInstances(fleet) == instanceCount);
     REQUIRE(ownedPools(fleet) == poolCount);
 
-    SECTION("acknowledges a withdrawn key when no instance accepts it any more")
+    SECTION("acknowledges the withdrawal of a key only after every instance has removed it")
     {
         fleet.submitAt("c2", 1, makeCommand(1, control::WithdrawKey{"north-key"}));
         fleet.run(seconds(2));
@@ -79,7 +80,7 @@
         }
     }
 
-    SECTION("recovers from the loss of its leader, also where the leader was the relay")
+    SECTION("recovers from the loss of its leader, also in the failure domain where the leader was the relay")
     {
         const std::string leader = fleet.leader();
         fleet.crash(leader);
@@ -88,7 +89,7 @@
         REQUIRE(freshInstances(fleet) == instanceCount - 1);
         REQUIRE(ownedPools(fleet) == poolCount);
 
-        SECTION("and takes it back")
+        SECTION("and lets the former leader rejoin")
         {
             fleet.node(leader).restarted = true;
             fleet.start(leader);
@@ -98,7 +99,7 @@
         }
     }
 
-    SECTION("waits for the leases of a failure domain that is cut off before it acknowledges")
+    SECTION("acknowledges a change only after the freshness leases of a partitioned failure domain have expired")
     {
         fleet.isolate({"b1", "b2"});
         fleet.run(seconds(1));
@@ -114,7 +115,7 @@
         REQUIRE_FALSE(acknowledgedWhileFresh);
         REQUIRE(fleet.node("b2").configuration->keys.size() == 1);
 
-        SECTION("and the returning failure domain applies the change before it serves keys")
+        SECTION("and the failure domain applies the change before its leases are renewed after the partition")
         {
             fleet.heal();
             for (int i = 0; i < 100; ++i) {
@@ -127,14 +128,14 @@
         }
     }
 
-    SECTION("leaves its pools to a failure domain that is cut off as a whole")
+    SECTION("keeps the pools of a failure domain that is partitioned as a whole")
     {
         fleet.isolate({"b1", "b2"});
         fleet.run(seconds(30));
         REQUIRE(ownedPools(fleet) == poolCount);
     }
 
-    SECTION("keeps an accepted change over a restart of all voters")
+    SECTION("keeps an accepted change across a restart of all voters")
     {
         fleet.submitAt("a1", 3, makeCommand(3, control::SetDomainOut{"b", true}));
         fleet.run(seconds(2));
@@ -153,17 +154,17 @@
             REQUIRE(node.configuration->domains[1].out);
         }
 
-        SECTION("and answers the same command again with the same result")
+        SECTION("and replies to a repeated command with the same result")
         {
             fleet.submitAt("c3", 4, makeCommand(3, control::SetDomainOut{"b", true}));
-            // The new leader waits for the leases of the processes that were there before it, at most one freshness time.
+            // The new leader waits for the freshness leases that its predecessor granted, at most one freshness period.
             fleet.run(seconds(12));
             REQUIRE(fleet.node("c3").done.size() == 1);
             REQUIRE(fleet.node("c3").done[0].result.outcome == control::CommandOutcome::Accepted);
         }
     }
 
-    SECTION("loses nothing when a voter returns with an empty disk and another one is lost")
+    SECTION("loses no acknowledged change when a voter returns with an empty disk and another voter crashes")
     {
         fleet.submitAt("a1", 5, makeCommand(5, control::WithdrawKey{"north-key"}));
         fleet.run(seconds(2));
@@ -175,7 +176,7 @@
         fleet.node(other).configuration = nullptr;
         fleet.start(other);
         fleet.run(recoveryTime);
-        // With the vote of the empty one, the third voter could become leader without the newest entries.
+        // If the voter with the empty disk could vote, the third voter could become leader without the newest entries.
         fleet.crash(leader);
         fleet.run(seconds(20));
         REQUIRE(fleet.leader().empty());
@@ -189,7 +190,7 @@
         }
     }
 
-    SECTION("lets an instance leave without waiting for leases")
+    SECTION("hands over the pools of a leaving instance without waiting for its leases")
     {
         fleet.leaveAt("c2");
         fleet.run(seconds(1));
