--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -19,9 +19,10 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t retainedEntries = 16; // behind a snapshot; bounds the log in memory, where an entry may be hundreds of kilobytes
+// Log entries kept after a snapshot. Bounds the log in memory, where an entry may be hundreds of kilobytes.
+constexpr std::size_t retainedEntries = 16;
 
-/** First voters have numbers that all of them work out alike: the IP address. */
+/** Id of an initial voter: its IP address, so that all initial voters derive the same ids without communication. */
 control::VoterId voterIdFromAddress(const std::string &address)
 {
     boost::system::error_code error;
@@ -165,7 +166,7 @@
         if (auto *catalog = std::get_if<catalog::Catalog>(&decoded)) {
             m_catalog = std::make_shared<const catalog::CatalogIndex>(std::make_shared<const catalog::Catalog>(std::move(*catalog)));
         } else {
-            observability::logError("the catalog in the log cannot be read: " + std::get<catalog::CatalogProblem>(decoded).message);
+            observability::logError("catalog in the replicated log cannot be decoded: " + std::get<catalog::CatalogProblem>(decoded).message);
         }
     }
     if (!m_hub) {
@@ -224,6 +225,7 @@
     broadcastCoordinators();
 }
 
+/** Whether a majority of the voters, this one included, has answered within the contact timeout. */
 bool Coordinator::hasMajorityContact(TimePoint now) const
 {
     std::size_t voters = 0;
@@ -241,7 +243,10 @@
     return heard > voters / 2;
 }
 
-/** Grants begin as soon as all connected entry instances have told what they spent. */
+/**
+ * Starts granting tokens before the end of the handover time if all connected entry instances have reported what they spent from the
+ * grants of the earlier leader.
+ */
 void Coordinator::openTokenBank(TimePoint now)
 {
     if (now >= m_bank.grantsStartAt || now - m_leadsSince < m_settings.handoverMinimum) {
@@ -332,6 +337,7 @@
     }
 }
 
+/** Adds or removes at most one member of the replicated log. */
 void Coordinator::planVoters(TimePoint now)
 {
     std::vector<voterplan::MemberView> members;
--- a/src/coordinator/coordinatorlinks.cpp
+++ b/src/coordinator/coordinatorlinks.cpp
@@ -11,9 +11,10 @@
 
 using Clock = std::chrono::steady_clock;
 
-/** An entry instance that is silent for so long no longer counts among those that share the fleet-wide limits. */
+/** An entry instance that sends no report for this long is no longer counted among those that share the fleet-wide limits. */
 constexpr Duration entryTimeout = seconds(6);
 
+/** Entry instances have no link address in their Hello. */
 bool isEntry(const fleetlink::Peer &peer)
 {
     return peer.hello.address.empty();
@@ -100,7 +101,7 @@
 {
     if (!isEntry(peer)) {
         m_hub->dial(peer.hello.address);
-        // After a start of all voters at once nobody hears a leader; one of them need not wait for a whole time-out.
+        // When all voters start at once there is no leader yet. Elect one without waiting for a whole election timeout.
         control::hurryElection(*m_consensus, m_settings.electionSpread, Clock::now());
     }
     if (isEntry(peer) || !peer.dialedAddress.empty()) {
@@ -136,12 +137,13 @@
         return other.number != peer.number && other.hello.voter == peer.hello.voter;
     });
     if (!isEntry(peer) && !isConnected) {
-        // Load pattern: the leader's process ends in a burst. Until the next one, no rate is granted and no adapter loaded.
+        // Elect a new leader at once: until then no tokens are granted and no adapters are loaded, which matters if the process of the
+        // leader ends during a burst of load.
         control::voterDisconnected(*m_consensus, peer.hello.voter, m_settings.electionSpread, Clock::now());
     }
 }
 
-/** Sends the replicated state; leaves out the catalog when the connection has carried it already. */
+/** Sends the replicated state, without the catalog if this version was already sent on the connection. */
 void Coordinator::sendState(const fleetlink::Peer &peer)
 {
     if (!m_state.catalogText) {
@@ -176,7 +178,7 @@
         }
         if (!changed.empty()) {
             serversChanged(changed, now);
-            // An entry instance may be cut off from the coordinator that heard the server.
+            // An entry instance may have no connection to the coordinator that received the announcement.
             broadcastServers(changed, false, leads());
         }
     } else if (const auto *report = std::get_if<fleetlink::EntryReport>(&message)) {
@@ -214,7 +216,7 @@
     }
     for (const fleetlink::NamedNumber &wish : report.tokenWishes) {
         if (!entry.hasHistory || !m_bank.accounts.contains(wish.name)) {
-            continue; // the rate is gone; the entry instance has not heard of it yet
+            continue; // no history yet, or the organisation's rate was removed and the entry instance does not know it yet
         }
         const double granted = allowance::grant(m_bank, wish.name, wish.value, now);
         entry.granted[wish.name] += granted;
@@ -243,7 +245,7 @@
     confirmReports();
 }
 
-/** One round of the log confirms all reports that have arrived before it. */
+/** Confirms the leadership by one round of the log, for all reports that arrived before it. */
 void Coordinator::confirmReports()
 {
     if (m_reportRead || m_unconfirmedReports.empty() || !leads()) {
@@ -256,6 +258,7 @@
     executeActions(std::move(actions));
 }
 
+/** Replies to the reports in m_confirmingReports; @p index is the log index up to which the replies are current. */
 void Coordinator::replyToReports(control::LogIndex index)
 {
     const TimePoint now = Clock::now();
@@ -272,7 +275,7 @@
             running[server.name] += server.value;
         }
     }
-    // A new leader has heard few entry instances yet; all of them keep a connection.
+    // A new leader has received few reports yet, but every entry instance has a connection.
     const auto entries = static_cast<unsigned>(std::max(m_entries.size(), m_hub->entryCount()));
     const auto loadMilliseconds = static_cast<unsigned>(std::chrono::ceil<milliseconds>(placement::expectedLoad(m_placement, now)).count());
     for (const std::string &name : m_confirmingReports) {
--- a/src/coordinator/coordinatorlog.cpp
+++ b/src/coordinator/coordinatorlog.cpp
@@ -15,7 +15,8 @@
 
 using Clock = std::chrono::steady_clock;
 
-// A configuration may be hundreds of kilobytes; these bound the log in memory and on a disk of 128 MB.
+// Entries and bytes after which a snapshot is taken. A configuration may be hundreds of kilobytes, so both limits are needed to bound
+// the log in memory and on a disk of 128 MB.
 constexpr control::LogIndex snapshotEntries = 64;
 constexpr std::size_t snapshotBytes = std::size_t{2} << 20;
 
@@ -25,7 +26,7 @@
 {
     const auto decoded = link::decodeConsensusMessage(bytes);
     if (const auto *error = std::get_if<link::CodecError>(&decoded)) {
-        observability::logWarning("message of the replicated log from " + peer.hello.name + ": " + error->message);
+        observability::logWarning("cannot decode consensus message from " + peer.hello.name + ": " + error->message);
         return;
     }
     control::ConsensusActions actions;
@@ -68,8 +69,8 @@
 
 void Coordinator::send(const control::SendToVoter &message)
 {
-    // A voter that joins knows no members yet and has to answer the leader all the same. A lost message is sent again by the
-    // log itself.
+    // Looks up the connection by voter id, not in the member list: a joining voter does not know the members yet but has to answer
+    // the leader. If there is no connection the message is dropped; the consensus protocol resends it.
     if (const fleetlink::Peer *peer = m_hub->findVoter(message.to)) {
         m_hub->sendEncoded(peer->number, link::MessageKind::Consensus, std::make_shared<const control::Bytes>(link::encode(message.message)));
     }
@@ -91,7 +92,7 @@
                 line.add("subject", command->subject).add("version", command->version).add("changed", changed ? "yes" : "no");
                 observability::logDecision(line.text());
             } else {
-                observability::logError("log entry " + std::to_string(entry.index) + " is not a command of this version and changes nothing");
+                observability::logError("log entry " + std::to_string(entry.index) + " holds no command that this version can decode; skipping it");
             }
         }
         changedAny = changedAny || changed;
@@ -110,7 +111,7 @@
 {
     auto decoded = fleetstate::decodeSnapshot(*snapshot.data);
     if (const auto *error = std::get_if<fleetstate::FleetStateError>(&decoded)) {
-        observability::logError("snapshot of the leader is damaged: " + error->message);
+        observability::logError("snapshot received from the leader cannot be decoded: " + error->message);
         control::snapshotRefused(*m_consensus);
         return;
     }
@@ -176,7 +177,7 @@
     executeActions(std::move(actions));
     if (!pending->changed && !pending->isLost) {
         if (const auto [error] = co_await pending->timer.async_wait(asio::as_tuple(asio::use_awaitable)); !error) {
-            // The change may still be committed; the caller has no clear answer and sends it again.
+            // The change may still be committed. The caller learns that the outcome is unknown and resends it.
             if (const auto found = m_changes.find(accepted.index); found != m_changes.end() && found->second == pending) {
                 m_changes.erase(found);
             }
--- a/src/coordinator/coordinatororders.cpp
+++ b/src/coordinator/coordinatororders.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-/** Takes over the holders of the replicated state; only those are new whose number differs. */
+/** Copies the order holders from the replicated state. Slots with an unchanged fencing number keep their state. */
 void Coordinator::applyOrderHolders()
 {
     auto &slots = m_placement.slots.slots;
@@ -32,6 +32,7 @@
     }
 }
 
+/** Assigns order slots that have no holder able to send orders. */
 void Coordinator::planOrderHolders(TimePoint now)
 {
     placement::noteCredit(m_placement.slots, m_settings.name, now);
@@ -39,7 +40,7 @@
     if (!assignment) {
         return;
     }
-    m_placement.slots.isAssigning = true; // until the replicated state has it
+    m_placement.slots.isAssigning = true; // until the replicated state contains the assignment
     observability::DecisionLine line("order-holder");
     line.add("holder", assignment->holder).add("slots", assignment->slots.size()).add("term", m_placement.term);
     observability::logDecision(line.text());
@@ -59,12 +60,12 @@
     if (std::holds_alternative<Committed>(result)) {
         schedulePlacement();
     } else {
-        // It may still be committed: another assignment now could change the holder twice without a lease between.
-        observability::logWarning("a change of the holder of orders was not committed in time");
+        // The assignment may still be committed. Another one now could change the holder twice without a lease period in between.
+        observability::logWarning("assignment of order slots was not committed in time");
     }
 }
 
-/** Tells the leader that this coordinator can send orders. */
+/** Sends the leader a credit: this coordinator can send orders to engines. */
 void Coordinator::sendCredit(TimePoint now)
 {
     if (leads() || now < m_nextCredit) {
@@ -85,7 +86,7 @@
     placement::noteCredit(m_placement.slots, peer.hello.name, Clock::now());
 }
 
-/** Sends @p order, or has its holder send it: an engine takes orders of one machine only. */
+/** Sends @p order directly or through the holder of its slot: an engine accepts orders from one machine only. */
 void Coordinator::sendOrder(const placement::ModelOrder &order)
 {
     ++m_counters.orders;
@@ -106,10 +107,10 @@
     m_hub->send(candidate.peer, fleetlink::OrderRequest{number, term, candidate.stamp, order});
 }
 
-/** An order of the leader to an engine that this coordinator holds. */
+/** Executes an order of the leader for an engine in a slot that this coordinator holds. */
 void Coordinator::handleOrderRequest(const fleetlink::Peer &peer, const fleetlink::OrderRequest &request)
 {
-    // A held-up order would arrive beside those of the next holder, which counts on the age of the credit.
+    // A delayed order could reach the engine together with orders of the next holder, which relies on the maximum age of a credit.
     const std::int64_t age = fleetlink::bootMilliseconds() - static_cast<std::int64_t>(request.credit);
     const bool isLate = milliseconds(age) > m_settings.orderSlots.creditAge;
     if (isLate || request.term < m_orderTerm) {
@@ -132,7 +133,7 @@
 {
     const auto found = m_remoteOrders.find(reply.number);
     if (found == m_remoteOrders.end()) {
-        return; // given up, or of an earlier term; a report of the engine tells what came of it
+        return; // timed out, or from an earlier term; the next report of the engine shows the outcome
     }
     const RemoteOrder remote = std::move(found->second);
     m_remoteOrders.erase(found);
--- a/src/coordinator/coordinatorplacement.cpp
+++ b/src/coordinator/coordinatorplacement.cpp
@@ -11,9 +11,9 @@
 
 using Clock = std::chrono::steady_clock;
 
-/** Placement is planned anew so often when no report asks for it, for replicas and engines without weights. */
+/** Interval of placement plans when no report triggers one; for replicas and engines without weights. */
 constexpr Duration placementInterval = milliseconds(250);
-/** Reports and answers are collected for so long before a plan. Small beside the 250 ms of a load. */
+/** Reports and answers are batched for this long before a plan. Short compared with the 250 ms that a load takes. */
 constexpr Duration placementDelay = milliseconds(8);
 
 } // namespace
@@ -44,7 +44,7 @@
     flushPlacement();
 }
 
-/** Plans once for the reports and answers that arrive within a short time: a plan looks at all copies of all engines. */
+/** Plans once for all reports and answers that arrive within placementDelay, as each plan examines all copies on all engines. */
 void Coordinator::schedulePlacement()
 {
     if (m_isPlacementScheduled) {
@@ -80,7 +80,7 @@
     }
 }
 
-/** Sends the changed placements once the events at hand are handled: one message for all of them. */
+/** Sends all changed placements in one message after the pending events are handled. */
 void Coordinator::flushPlacement()
 {
     if (m_placement.changed.empty() || m_placementFlushPosted) {
@@ -121,7 +121,7 @@
     const placement::EngineState &engine = m_placement.engines.at(server);
     fleetlink::ServerPlacement placed{server, engine.born, {}};
     for (const auto &[key, copy] : engine.adapters) {
-        // An order without an answer may not have been carried out; calls that are sent there are refused and lose their only attempt.
+        // An unanswered order may not have been executed. Calls sent to the engine would be refused and lose their only attempt.
         const bool isUncertain = engine.unresolved && engine.unresolved->model == key.model && engine.unresolved->adapter == key.adapter;
         if (isUncertain || !copy.isConfirmed || copy.isLeaving) {
             continue;
--- a/src/coordinator/voteridentity.cpp
+++ b/src/coordinator/voteridentity.cpp
@@ -19,7 +19,7 @@
     for (const control::Member &member : identity.initialMembers) {
         text << "member " << static_cast<std::uint32_t>(member.id) << ' ' << member.address << '\n';
     }
-    text << "end\n"; // a file without this line is torn
+    text << "end\n"; // a file without this line was written only in part
     return text.str();
 }
 
@@ -51,7 +51,7 @@
     return error == nullptr ? std::string() : error->message;
 }
 
-/** Stores @p text under a temporary name first: a file with the final name is complete. */
+/** Writes a temporary file and renames it, so that a file with the final name is complete. Returns an error message, empty on success. */
 std::string store(storage::FileSystem &files, const std::string &folder, const std::string &text)
 {
     const std::string temporary = folder + "/" + temporaryName;
@@ -102,7 +102,7 @@
         if (auto identity = fromText({content.begin(), content.end()})) {
             return *identity;
         }
-        return std::string("the identity file is damaged");
+        return std::string("the identity file is damaged: it is truncated or has no voter id");
     }
     if (auto problem = store(files, folder, toText(newIdentity)); !problem.empty()) {
         return problem;
--- a/tests/coordinator/fleet.cpp
+++ b/tests/coordinator/fleet.cpp
@@ -25,7 +25,7 @@
     return catalog;
 }
 
-/** Coordinators on loopback addresses and one event loop, each with a folder of its own. */
+/** Coordinators on loopback addresses and one event loop, each with its own data folder. */
 struct Fleet
 {
     Fleet() : folder(std::filesystem::temp_directory_path() / ("mimosahollow-coordinators-" + std::to_string(::getpid())))
@@ -41,7 +41,7 @@
     Fleet(const Fleet &) = delete;
     Fleet &operator=(const Fleet &) = delete;
 
-    /** Test processes run side by side: each has loopback addresses of its own. */
+    /** Test processes run in parallel, so the loopback addresses contain the process id. */
     static std::string address(unsigned number)
     {
         const auto process = static_cast<unsigned>(::getpid());
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Runs the loop until @p isDone; false after @p limit. */
+    /** Runs the event loop until @p isDone returns true; returns false after @p limit. */
     template<typename Condition>
     bool runUntil(Condition isDone, Duration limit = seconds(20))
     {
@@ -92,7 +92,7 @@
         return true;
     }
 
-    /** Sends a change to one coordinator after the other until one commits it, as operators do. */
+    /** Sends a change to all coordinators and repeats it, as an operator would, until one of them has committed it. */
     bool commit(const fleetstate::FleetCommand &command)
     {
         bool isCommitted = false;
@@ -118,7 +118,7 @@
         });
     }
 
-    /** The catalog version that a confirmed read returns; 0 when none is confirmed in time. */
+    /** Catalog version returned by a linearizable read; 0 if no read succeeds in time. */
     std::uint64_t readVersion()
     {
         std::uint64_t version = 0;
@@ -144,12 +144,13 @@
         return isRead ? version : 0;
     }
 
-    /** Voters of the replicated log as the metrics of @p number say. */
+    /** Whether the metrics of coordinator @p number show @p count voters. */
     [[nodiscard]] bool hasVoters(unsigned number, unsigned count) const
     {
         return coordinators.at(number)->metricsText().find("mimosahollow_log_voters " + std::to_string(count) + "\n") != std::string::npos;
     }
 
+    /** Whether two coordinators have applied the same log index. */
     [[nodiscard]] bool hasIndexOf(unsigned number, unsigned other) const
     {
         const auto index = [this](unsigned which) {
@@ -172,9 +173,9 @@
 
 } // namespace
 
-// Guards against the loss of an acknowledged change: a second disk is lost after the first one was replaced. Before, a
-// coordinator with an empty disk knew no members, never answered the leader, and the second loss ended the majority.
-TEST_CASE("A coordinator that lost its disk takes part again before the next one loses its own")
+// Guards against the loss of an acknowledged change when two coordinators lose their disks one after the other. A coordinator with
+// an empty disk knew no members and never answered the leader, so the second loss left no majority.
+TEST_CASE("A coordinator with an empty disk rejoins as a voter, so that a second lost disk loses no change")
 {
     Fleet fleet;
     for (unsigned number : {1U, 2U, 3U}) {
@@ -195,8 +196,8 @@
     CHECK(fleet.readVersion() == 9);
 }
 
-// Guards against state that a stop of all coordinators at the same moment loses.
-TEST_CASE("All coordinators stop at once and come back with what was acknowledged")
+// Guards against the loss of an acknowledged change when all coordinators stop at the same time.
+TEST_CASE("All coordinators restart at once and keep the acknowledged changes")
 {
     Fleet fleet;
     for (unsigned number : {1U, 2U, 3U}) {
