--- a/benchmark/membership.cpp
+++ b/benchmark/membership.cpp
@@ -233,7 +233,7 @@
     std::vector<RegisteredInstance> m_registered;
     std::vector<PoolAssignment> m_pools;
     LeaderState m_leader;
-    TimePoint m_now = timeOf(1'000'000'000'000);
+    TimePoint m_now = fromNanoseconds(1'000'000'000'000);
     std::uint64_t m_ticks = 0;
 };
 
--- a/include/mimosahollow/membership/assignment.h
+++ b/include/mimosahollow/membership/assignment.h
@@ -8,14 +8,14 @@
 
 namespace mimosahollow::membership {
 
-enum class AssignmentStep : std::uint8_t {
+enum class AssignmentAction : std::uint8_t {
     Assign, /**< Commit a new owner with a new fencing number. */
     RequestRelease, /**< Ask the current owner to release the pool for a graceful handover. */
 };
 
 struct PlannedAssignment
 {
-    AssignmentStep step = AssignmentStep::Assign;
+    AssignmentAction action = AssignmentAction::Assign;
     PoolId pool{};
     InstanceId owner{};
     FencingNumber fencing = 0; /**< For Assign: the new number. For RequestRelease: the current one. */
--- a/include/mimosahollow/membership/feed.h
+++ b/include/mimosahollow/membership/feed.h
@@ -41,7 +41,7 @@
 struct Feed
 {
     std::deque<Increment> increments; /**< Contiguous log indexes. */
-    std::size_t bytes = 0;
+    std::size_t incrementBytes = 0;
     Version lastIndex = 0;
     std::vector<std::uint8_t> snapshot;
     Version snapshotIndex = 0; /**< 0: no snapshot is stored. */
--- a/include/mimosahollow/membership/leaderstate.h
+++ b/include/mimosahollow/membership/leaderstate.h
@@ -23,7 +23,7 @@
     std::string name;
     DomainId domain{};
     std::uint64_t incarnation = 0;
-    Version since = 0; /**< Log index since which the instance is registered without interruption; kept when it restarts. */
+    Version registeredSince = 0; /**< Log index since which the instance is registered without interruption; kept when it restarts. */
     bool acceptsPools = true; /**< False during shutdown: no pools are assigned to it. */
 };
 
@@ -83,14 +83,14 @@
 struct CommittedIndex
 {
     Version index = 0;
-    TimePoint at{};
+    TimePoint committedAt{};
 };
 
 /** Leases granted by the control leader. Not persisted; a new leader starts from makeLeaderState(). */
 struct LeaderState
 {
     std::uint64_t term = 0;
-    TimePoint since{};
+    TimePoint leaderSince{};
     LeaseTimes times;
     Version requiredIndex = 0; /**< A process that has applied less gets no lease. */
     std::deque<CommittedIndex> notYetRequired; /**< Committed indexes that are still within the apply grace period. */
--- a/include/mimosahollow/membership/leasetime.h
+++ b/include/mimosahollow/membership/leasetime.h
@@ -23,12 +23,12 @@
     return lease * (whole + clockRateErrorPermille) / (whole - clockRateErrorPermille) + milliseconds(1);
 }
 
-[[nodiscard]] constexpr std::int64_t nanosecondsOf(TimePoint time) noexcept
+[[nodiscard]] constexpr std::int64_t toNanoseconds(TimePoint time) noexcept
 {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(time.time_since_epoch()).count();
 }
 
-[[nodiscard]] constexpr TimePoint timeOf(std::int64_t nanoseconds) noexcept
+[[nodiscard]] constexpr TimePoint fromNanoseconds(std::int64_t nanoseconds) noexcept
 {
     return TimePoint(std::chrono::duration_cast<Duration>(std::chrono::nanoseconds(nanoseconds)));
 }
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -41,7 +41,7 @@
     VoterState &voter = *state.voter;
     const auto assignments = poolAssignments(voter.control.configuration);
     for (const membership::PlannedAssignment &planned : membership::planAssignments(*voter.leader, assignments, now)) {
-        if (planned.step != membership::AssignmentStep::Assign || voter.pendingAssignments.contains(planned.pool)) {
+        if (planned.action != membership::AssignmentAction::Assign || voter.pendingAssignments.contains(planned.pool)) {
             continue;
         }
         const auto present = std::find_if(assignments.begin(), assignments.end(), [&](const membership::PoolAssignment &assignment) {
--- a/src/membership/assignment.cpp
+++ b/src/membership/assignment.cpp
@@ -136,7 +136,7 @@
     // An owner that was removed from the control state has ended.
     const bool anyCandidate = released || findRegistration(state, pool.owner) == nullptr;
     return bestCandidate(state, pool, pools, now, [&](const RegisteredInstance &instance) {
-        return (anyCandidate || instance.since <= lease.ownerAppliedIndex) && (released || instance.id != pool.owner);
+        return (anyCandidate || instance.registeredSince <= lease.ownerAppliedIndex) && (released || instance.id != pool.owner);
     });
 }
 
@@ -164,13 +164,13 @@
     for (PoolAssignment &pool : next) {
         if (!hasWorkingOwner(state, pool, now)) {
             if (const RegisteredInstance *owner = successor(state, pool, next, now)) {
-                planned.push_back({AssignmentStep::Assign, pool.pool, owner->id, pool.fencing + 1});
+                planned.push_back({AssignmentAction::Assign, pool.pool, owner->id, pool.fencing + 1});
                 pool.owner = owner->id;
                 pool.releasedByIncarnation = 0;
             }
         } else if (!handoverDomains.contains(pool.domain)) {
             if (const RegisteredInstance *owner = betterOwner(state, pool, next, now)) {
-                planned.push_back({AssignmentStep::RequestRelease, pool.pool, owner->id, pool.fencing});
+                planned.push_back({AssignmentAction::RequestRelease, pool.pool, owner->id, pool.fencing});
                 handoverDomains.insert(pool.domain);
             }
         }
--- a/src/membership/feed.cpp
+++ b/src/membership/feed.cpp
@@ -112,13 +112,13 @@
     if (increment.payload.size() > maximumIncrementBytes) {
         // It does not fit into a frame, so subscribers get it as part of a snapshot.
         feed.increments.clear();
-        feed.bytes = 0;
+        feed.incrementBytes = 0;
         return true;
     }
-    feed.bytes += increment.payload.size();
+    feed.incrementBytes += increment.payload.size();
     feed.increments.push_back(std::move(increment));
-    while (feed.bytes > maximumFeedBytes && feed.increments.size() > 1) {
-        feed.bytes -= feed.increments.front().payload.size();
+    while (feed.incrementBytes > maximumFeedBytes && feed.increments.size() > 1) {
+        feed.incrementBytes -= feed.increments.front().payload.size();
         feed.increments.pop_front();
     }
     return true;
@@ -131,7 +131,7 @@
     if (index > feed.lastIndex) {
         // The source itself went ahead by a snapshot, so the increments before it have a gap.
         feed.increments.clear();
-        feed.bytes = 0;
+        feed.incrementBytes = 0;
         feed.lastIndex = index;
     }
 }
--- a/src/membership/leaderstate.cpp
+++ b/src/membership/leaderstate.cpp
@@ -20,7 +20,7 @@
 
 void advanceRequiredIndex(LeaderState &state, TimePoint now)
 {
-    while (!state.notYetRequired.empty() && now - state.notYetRequired.front().at >= state.times.applyGracePeriod) {
+    while (!state.notYetRequired.empty() && now - state.notYetRequired.front().committedAt >= state.times.applyGracePeriod) {
         state.requiredIndex = std::max(state.requiredIndex, state.notYetRequired.front().index);
         state.notYetRequired.pop_front();
     }
@@ -32,8 +32,8 @@
         return; // bounds the table
     }
     Reachability &reachability = state.reachability[entry.instance];
-    if (entry.echo.term == state.term && timeOf(entry.echo.time) >= state.since && timeOf(entry.echo.time) <= now) {
-        reachability.lastEchoAt = std::max(reachability.lastEchoAt, timeOf(entry.echo.time));
+    if (entry.echo.term == state.term && fromNanoseconds(entry.echo.time) >= state.leaderSince && fromNanoseconds(entry.echo.time) <= now) {
+        reachability.lastEchoAt = std::max(reachability.lastEchoAt, fromNanoseconds(entry.echo.time));
     }
     if (!reachability.reachable && reachability.lastEchoAt != neverTime && now - reachability.lastEchoAt < state.times.poolLease) {
         reachability.reachable = true;
@@ -99,7 +99,7 @@
     RenewReply &reply = outgoing.reply;
     reply.sequence = request.sequence;
     reply.incarnation = request.self.incarnation;
-    reply.stamp = {state.term, nanosecondsOf(now)};
+    reply.stamp = {state.term, toNanoseconds(now)};
     recordEcho(state, request.self, now);
     for (const FollowerEntry &entry : request.followers) {
         recordEcho(state, entry, now);
@@ -136,7 +136,7 @@
 {
     LeaderState state;
     state.term = term;
-    state.since = now;
+    state.leaderSince = now;
     state.times = times;
     state.requiredIndex = commitIndex;
     state.registered.assign(registered.begin(), registered.end());
--- a/src/membership/poolholder.cpp
+++ b/src/membership/poolholder.cpp
@@ -83,7 +83,7 @@
 
 void receivePromise(PoolHolder &holder, const Promise &promise, TimePoint now)
 {
-    const TimePoint sentAt = timeOf(promise.ownerTime);
+    const TimePoint sentAt = fromNanoseconds(promise.ownerTime);
     if (promise.owner != holder.self || promise.ownerIncarnation != holder.incarnation || sentAt > now) {
         return;
     }
@@ -188,7 +188,7 @@
     if (holder.peers.empty()) {
         return std::nullopt;
     }
-    Promise request{PromiseKind::Request, holder.self, holder.self, holder.incarnation, nanosecondsOf(now), {}};
+    Promise request{PromiseKind::Request, holder.self, holder.self, holder.incarnation, toNanoseconds(now), {}};
     for (const auto &[id, pool] : holder.pools) {
         const bool renewalOverdue = pool.renewedByLeader && now >= pool.leaderLeaseUntil - holder.poolLease + holder.poolLease / renewalGapDivisor;
         if (pool.owner == holder.self && pool.activated && !pool.released && renewalOverdue) {
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -84,7 +84,7 @@
 {
     Heartbeat heartbeat;
     heartbeat.incarnation = view.self.incarnation;
-    heartbeat.sentAt = nanosecondsOf(now);
+    heartbeat.sentAt = toNanoseconds(now);
     heartbeat.echoIncarnation = known.record.incarnation;
     heartbeat.echoSentAt = known.remoteSentAt;
     heartbeat.relay = view.relay == view.self.name;
@@ -173,7 +173,7 @@
     known.relay = heartbeat.relay;
     if (heartbeat.echoIncarnation == view.self.incarnation && heartbeat.echoSentAt != 0) {
         // An echo from the future or the distant past is malformed; arithmetic with it could overflow.
-        const TimePoint echo = timeOf(heartbeat.echoSentAt);
+        const TimePoint echo = fromNanoseconds(heartbeat.echoSentAt);
         if (echo <= now && echo > now - view.options.expirationTime) {
             known.lastAcknowledgedAt = std::max(known.lastAcknowledgedAt, echo);
         }
--- a/tests/membership/leasesimulation.cpp
+++ b/tests/membership/leasesimulation.cpp
@@ -98,12 +98,12 @@
         return same(instance) && instance.incarnation >= incarnation;
     });
     if (!known) {
-        Version since = old == registered.end() ? m_index + 1 : old->since;
+        Version registeredSince = old == registered.end() ? m_index + 1 : old->registeredSince;
         if (m_mutation == Mutation::AnyInstanceSucceeds) {
-            since = 0;
+            registeredSince = 0;
         }
         commit([&](ControlState &state) {
-            state.registered.push_back({idOf(node), "n" + std::to_string(node), domain, incarnation, since, true});
+            state.registered.push_back({idOf(node), "n" + std::to_string(node), domain, incarnation, registeredSince, true});
         });
         setRegisteredInstances(m_leader, m_committed.registered);
     }
@@ -182,8 +182,8 @@
     }
     const TimePoint local = m_leaderClocks[m_leaderClock].at(now);
     static_cast<void>(onRenewRequest(m_leader, std::to_string(from), request, local));
-    for (const OutgoingRenewReply &answered : answerRenewals(m_leader, m_committed.pools, local, local)) {
-        send(0, from, [this, from, reply = answered.reply] {
+    for (const OutgoingRenewReply &outgoing : answerRenewals(m_leader, m_committed.pools, local, local)) {
+        send(0, from, [this, from, reply = outgoing.reply] {
             receiveReply(from, reply);
         });
     }
@@ -220,7 +220,7 @@
     const TimePoint local = node.clock.at(now);
     if (promise.kind != PromiseKind::Request) {
         if (m_mutation == Mutation::PromiseFromReceipt) {
-            promise.ownerTime = nanosecondsOf(local);
+            promise.ownerTime = toNanoseconds(local);
         }
         onPromise(node.holder, promise, local);
         return;
@@ -260,7 +260,7 @@
     const TimePoint local = m_leaderClocks[m_leaderClock].at(now);
     updateReachability(m_leader, local);
     for (const PlannedAssignment &planned : planAssignments(m_leader, m_committed.pools, local)) {
-        if (planned.step == AssignmentStep::RequestRelease) {
+        if (planned.action == AssignmentAction::RequestRelease) {
             const auto owner = number(m_committed.pools[number(planned.pool) - 1].owner);
             send(0, owner, [this, owner] {
                 release(owner);
--- a/tests/membership/leasesimulation.h
+++ b/tests/membership/leasesimulation.h
@@ -42,7 +42,7 @@
 
     [[nodiscard]] TimePoint at(std::int64_t nanoseconds) const
     {
-        return timeOf(offset + static_cast<std::int64_t>(static_cast<double>(nanoseconds) * rate));
+        return fromNanoseconds(offset + static_cast<std::int64_t>(static_cast<double>(nanoseconds) * rate));
     }
 };
 
--- a/tests/membership/view.cpp
+++ b/tests/membership/view.cpp
@@ -18,7 +18,7 @@
 {
     std::vector<View> views;
     std::mt19937_64 random{seed};
-    TimePoint now = timeOf(1'000'000'000);
+    TimePoint now = fromNanoseconds(1'000'000'000);
     std::set<std::pair<std::string, std::string>> cuts;
     std::map<std::pair<std::string, std::string>, std::size_t> suspicions;
     std::size_t relayChanges = 0;
@@ -179,7 +179,7 @@
     {
         View &a1 = fleet.find("a1");
         const TimePoint before = a1.known.at("a2").lastAcknowledgedAt;
-        Heartbeat heartbeat{1, 5, 1, nanosecondsOf(fleet.now + seconds(100)), false, "", {}};
+        Heartbeat heartbeat{1, 5, 1, toNanoseconds(fleet.now + seconds(100)), false, "", {}};
         onHeartbeat(a1, "a2", heartbeat, fleet.now);
         REQUIRE(a1.known.at("a2").lastAcknowledgedAt == before);
         heartbeat.echoSentAt = std::numeric_limits<std::int64_t>::min();
