--- a/include/mimosahollow/membership/poolholder.h
+++ b/include/mimosahollow/membership/poolholder.h
@@ -80,8 +80,9 @@
 /**
  * Earliest time at which the owner may send its first order to a server.
  *
- * If the server ignores fencing numbers, this is @p maximumOrderLifetime after the activation, because an order of the
- * previous owner may be in flight for that long after its lease has expired.
+ * If the server ignores fencing numbers and the previous owner has not announced the release of the pool, this is
+ * @p maximumOrderLifetime after the activation: an order of the previous owner may be in flight for that long after its
+ * lease has expired. TimePoint::max() if the pool is not active.
  */
 [[nodiscard]] TimePoint firstOrderAt(const PoolHolder &holder, PoolId pool, bool serverChecksFencing, Duration maximumOrderLifetime) noexcept;
 
--- a/src/membership/assignment.cpp
+++ b/src/membership/assignment.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/** An instance that was lost more often waits no longer than after this many losses: 60 s x 2^6 is about an hour. */
+/** Caps the exponential backoff of the stabilization time: 60 s x 2^6 is about an hour. */
 constexpr std::uint32_t maximumStabilizationDoublings = 6;
-/** A pool moves for balance only when its owner has this many more pools than the new one, so that it cannot move back. */
+/** Rebalancing moves a pool only if its owner has at least this many more pools than the new one; otherwise it could move back. */
 constexpr std::size_t minimumImbalance = 2;
 
 const RegisteredInstance *findRegistration(const LeaderState &state, InstanceId instance)
@@ -50,7 +50,7 @@
     return instance.domain == domain && instance.acceptsPools && isReachable(state, instance.id);
 }
 
-/** Equal part of the pools of @p domain for each candidate, rounded up. */
+/** Number of pools of @p domain per candidate, rounded up. */
 std::size_t fairShare(const LeaderState &state, std::span<const PoolAssignment> pools, DomainId domain)
 {
     std::set<InstanceId> candidates;
@@ -66,9 +66,10 @@
 }
 
 /**
- * Best instance for @p pool that @p isEligible accepts: settled ones first, then those below their equal part.
+ * Best eligible instance for @p pool. Prefers stable instances, then those below their fair share, then the highest
+ * rendezvous weight.
  *
- * The bound keeps a pool that was moved for balance from unbalancing its new owner, which would move pools without end.
+ * Without the fair share, a pool that is moved for balance could overload its new owner, and pools would move forever.
  */
 template<typename Eligible>
 const RegisteredInstance *
@@ -101,7 +102,7 @@
     return found->second;
 }
 
-/** Starts the wait for the first renewal of assignments that are new. */
+/** Sets the deadline for the first renewal of each new assignment. */
 void startRenewalDeadlines(LeaderState &state, std::span<const PoolAssignment> pools, TimePoint now)
 {
     for (const PoolAssignment &pool : pools) {
@@ -119,7 +120,7 @@
            && now < leaseOf(state, pool).renewalDeadline;
 }
 
-/** New owner for a pool without a working one; none while the old owner may still be valid. */
+/** New owner for a pool without a working owner; null while the lease of the previous owner may still be valid. */
 const RegisteredInstance *successor(const LeaderState &state, const PoolAssignment &pool, std::span<const PoolAssignment> pools, TimePoint now)
 {
     if (pool.owner == InstanceId{}) {
@@ -132,15 +133,16 @@
     if (now < lease.mayOwnUntil && !(released && pool.releasedByIncarnation == lease.incarnation)) {
         return nullptr;
     }
-    // The old owner may live on by the promises of the instances that it knows, so the new one must be among them.
-    // An owner that was removed from the control state has ended.
+    // The previous owner may extend its lease by the promises of all peers that it knows. The new owner must be one of
+    // these peers, because its own promise then keeps it from taking over too early. An owner that was removed from the
+    // control state has terminated, so any instance may follow it.
     const bool anyCandidate = released || findRegistration(state, pool.owner) == nullptr;
     return bestCandidate(state, pool, pools, now, [&](const RegisteredInstance &instance) {
         return (anyCandidate || instance.registeredSince <= lease.ownerAppliedIndex) && (released || instance.id != pool.owner);
     });
 }
 
-/** Instance that should take @p pool over from its working owner; none as long as the owner is good enough. */
+/** Instance to which the working owner of @p pool should hand it over; null if the pool should stay. */
 const RegisteredInstance *betterOwner(const LeaderState &state, const PoolAssignment &pool, std::span<const PoolAssignment> pools, TimePoint now)
 {
     const RegisteredInstance *owner = findRegistration(state, pool.owner);
@@ -159,8 +161,8 @@
 {
     startRenewalDeadlines(state, pools, now);
     std::vector<PlannedAssignment> planned;
-    std::vector<PoolAssignment> next(pools.begin(), pools.end()); // with what is planned already
-    std::set<DomainId> handoverDomains; // one graceful handover at a time in each failure domain
+    std::vector<PoolAssignment> next(pools.begin(), pools.end()); // includes the assignments planned so far
+    std::set<DomainId> handoverDomains; // limits each failure domain to one graceful handover at a time
     for (PoolAssignment &pool : next) {
         if (!hasWorkingOwner(state, pool, now)) {
             if (const RegisteredInstance *owner = successor(state, pool, next, now)) {
--- a/src/membership/feed.cpp
+++ b/src/membership/feed.cpp
@@ -65,7 +65,7 @@
 ReadResult readSnapshotPart(FeedReader &reader, Update &update)
 {
     if (update.lastIndex <= reader.applied) {
-        return NothingToApply{}; // state never goes back
+        return NothingToApply{}; // never replace the state by an older one
     }
     if (update.part == 0) {
         resetSnapshot(reader);
@@ -110,7 +110,7 @@
     }
     feed.lastIndex = increment.index;
     if (increment.payload.size() > maximumIncrementBytes) {
-        // It does not fit into a frame, so subscribers get it as part of a snapshot.
+        // The increment does not fit into a frame, so subscribers get it in a snapshot.
         feed.increments.clear();
         feed.incrementBytes = 0;
         return true;
@@ -129,7 +129,7 @@
     feed.snapshot = std::move(snapshot);
     feed.snapshotIndex = index;
     if (index > feed.lastIndex) {
-        // The source itself went ahead by a snapshot, so the increments before it have a gap.
+        // This instance itself advanced by a snapshot, so the stored increments do not reach up to it.
         feed.increments.clear();
         feed.incrementBytes = 0;
         feed.lastIndex = index;
--- a/src/membership/leaderstate.cpp
+++ b/src/membership/leaderstate.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** Requests that wait for one round of the majority. Relays ask twice a second, so that a few dozen are normal. */
+/** Limit of the requests queued for one majority round. Relays send two per second, so a few dozen are usual. */
 constexpr std::size_t maximumPendingRenewals = 1024;
-/** An instance that stays reachable for this long counts as never lost. */
+/** The failure count is reset after an instance has been reachable for this long. */
 constexpr Duration failureResetTime = seconds(3600);
 
 bool isRegistered(const LeaderState &state, const ProcessId &process)
@@ -29,7 +29,7 @@
 void recordEcho(LeaderState &state, const FollowerEntry &entry, TimePoint now)
 {
     if (!isRegistered(state, {entry.instance, entry.incarnation})) {
-        return; // bounds the table
+        return; // unregistered processes would grow the map without bound
     }
     Reachability &reachability = state.reachability[entry.instance];
     if (entry.echo.term == state.term && fromNanoseconds(entry.echo.time) >= state.leaderSince && fromNanoseconds(entry.echo.time) <= now) {
@@ -41,7 +41,7 @@
     }
 }
 
-/** Gives @p entry a freshness lease if it may have one. */
+/** Renews the freshness lease of a registered process that has applied the required index. */
 bool renewFreshness(LeaderState &state, const FollowerEntry &entry, TimePoint receivedAt)
 {
     const ProcessId process{entry.instance, entry.incarnation};
@@ -74,7 +74,7 @@
         return false;
     }
     const FollowerEntry *owner = findEntry(pending.request, renewal.owner);
-    // Without two-way contact the owner cannot use the renewal, and renewing would keep the pool from a working instance.
+    // Without bidirectional contact the reply may not reach the owner, and renewing would keep the pool from a working instance.
     if (owner == nullptr || !isReachable(state, renewal.owner) || !isRegistered(state, {owner->instance, owner->incarnation})) {
         return false;
     }
--- a/src/membership/liveness.cpp
+++ b/src/membership/liveness.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** An instance that stays alive for this many of the longest recovery times counts as never lost. */
+/** The failure count is reset after an instance has been alive for this multiple of the maximum recovery time. */
 constexpr int failureResetFactor = 10;
-/** Keeps the shift of the recovery time in range; the maximum recovery time is reached earlier. */
+/** Keeps the shift below the width of its type; the maximum recovery time is reached earlier. */
 constexpr std::uint32_t maximumDoublings = 16;
 
 bool isRecent(TimePoint time, Duration window, TimePoint now)
@@ -21,7 +21,7 @@
     const bool remote = known.record.failureDomain != view.self.failureDomain;
     const Duration interval = view.options.heartbeatInterval * (remote ? view.options.remoteIntervalFactor : 1);
     const Duration window = interval * view.options.suspicionThreshold;
-    // The echo is up to one interval older than the heartbeat that carries it.
+    // The echoed heartbeat is up to one interval older than the heartbeat that carries the echo.
     return isRecent(known.lastHeartbeatAt, window, now) && isRecent(known.lastAcknowledgedAt, window + interval, now);
 }
 
@@ -33,7 +33,7 @@
     return std::min(options.recoveryTime * (1U << std::min(failureCount - 1, maximumDoublings)), options.maximumRecoveryTime);
 }
 
-/** Instances of different failure domains exchange heartbeats only while both are relays. */
+/** Instances in different failure domains exchange heartbeats only while both are relays. */
 bool exchangesHeartbeats(const View &view, const KnownInstance &known)
 {
     return known.record.failureDomain == view.self.failureDomain || (known.relay && view.relay == view.self.name);
@@ -44,7 +44,7 @@
 LivenessChange updateLiveness(const View &view, KnownInstance &known, TimePoint now)
 {
     if (!exchangesHeartbeats(view, known)) {
-        known.alive = false; // the end of a role is no loss
+        known.alive = false; // losing the relay role is not a failure
         known.bidirectionalSince = neverTime;
         return LivenessChange::None;
     }
--- a/src/membership/liveness.h
+++ b/src/membership/liveness.h
@@ -10,7 +10,7 @@
     BecameSuspect,
 };
 
-/** Judges the two-way contact with @p known from the evidence of both directions. */
+/** Updates the liveness of @p known from the heartbeats received from it and the echoes of the own ones. */
 [[nodiscard]] LivenessChange updateLiveness(const View &view, KnownInstance &known, TimePoint now);
 
 } // namespace mimosahollow::membership
--- a/src/membership/poolholder.cpp
+++ b/src/membership/poolholder.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/** Promises are asked for when a third of the pool lease has passed without a renewal; two renewals are missing then. */
+/** Promises are requested after a third of the pool lease without a renewal by the leader; two renewals are missing by then. */
 constexpr int renewalGapDivisor = 3;
-/** A failure domain has one pool for each base model, plain service and bucket; this bounds what peers can make an instance keep. */
+/** Bounds the entries that peers can create. A failure domain has one pool for each base model, plain service and bucket. */
 constexpr std::size_t maximumTrackedPools = 1024;
 
 bool hasGivenPromise(const PoolLeaseState &pool, TimePoint now) noexcept
@@ -19,7 +19,7 @@
     });
 }
 
-/** End of the lease by promises: the promise that runs out first. */
+/** End of the lease by promises: the earliest end of a promise over all peers. */
 TimePoint promiseLeaseUntil(const PoolHolder &holder, const PoolLeaseState &pool) noexcept
 {
     TimePoint until = TimePoint::max();
@@ -30,17 +30,17 @@
     return until;
 }
 
-/** The promises count only after this process had one renewal: the leader then knows how new its set of peers is. */
+/** Promises count only once the leader has renewed the lease of this process, and so knows how recent its set of peers is. */
 TimePoint leaseUntil(const PoolHolder &holder, const PoolLeaseState &pool) noexcept
 {
     return pool.renewedByLeader ? std::max(pool.leaderLeaseUntil, promiseLeaseUntil(holder, pool)) : neverTime;
 }
 
 /**
- * Whether promises that an earlier run of this process gave may still hold it back.
+ * Whether promises that were given before a restart, and lost by it, may still be valid.
  *
- * A promise to the owner of a newer fencing number does not matter: the leader renews this number no more. Under number 1
- * there was no earlier owner.
+ * Promises to the owner under a newer fencing number do not matter, because the leader no longer renews the older number.
+ * Under fencing number 1 there was no previous owner.
  */
 bool mayHaveForgottenPromise(const PoolHolder &holder, const PoolLeaseState &pool, TimePoint now) noexcept
 {
@@ -89,7 +89,7 @@
     }
     for (const PoolFence &fence : promise.pools) {
         if (PoolLeaseState *pool = find(holder, fence)) {
-            // Counted from the own send time: the promise itself starts later and so ends later.
+            // Measured from the send time of the request. The peer starts its promise later, so the promise ends later.
             TimePoint &until = pool->peerPromiseUntil.try_emplace(promise.from, neverTime).first->second;
             until = std::max(until, sentAt + holder.poolLease);
         }
@@ -283,7 +283,7 @@
     if (held == nullptr || !held->activated) {
         return TimePoint::max();
     }
-    // Fencing numbers of a pool grow by one, so a release under the number before this one comes from the previous owner.
+    // Fencing numbers of a pool increase by one, so a release under the preceding number is that of the previous owner.
     const bool noOldOrders = held->fencing == 1 || held->releasedFencing + 1 == held->fencing;
     return serverChecksFencing || noOldOrders ? held->activatedAt : held->activatedAt + maximumOrderLifetime;
 }
--- a/src/membership/relay.cpp
+++ b/src/membership/relay.cpp
@@ -6,7 +6,7 @@
 std::string chooseRelay(const View &view, TimePoint now)
 {
     const std::string key = "relay " + view.self.failureDomain;
-    const KnownInstance *best = nullptr; // nothing stands for this instance
+    const KnownInstance *best = nullptr; // null: this instance itself
     const KnownInstance *current = nullptr;
     std::uint64_t bestWeight = rendezvousWeight(key, view.self.name);
     for (const auto &[name, known] : view.known) {
@@ -14,7 +14,7 @@
             continue;
         }
         current = name == view.relay ? &known : current;
-        // Only a relay of higher weight than this instance is chosen, so that relays cannot follow each other in a circle.
+        // Only instances of higher weight than this one are candidates, so that relays cannot subscribe to each other in a cycle.
         const std::uint64_t weight = rendezvousWeight(key, name);
         if (weight > bestWeight) {
             best = &known;
@@ -31,7 +31,7 @@
 
 std::string chooseUpstream(const View &view, std::span<const std::string> voters, std::uint32_t failures)
 {
-    // Every second attempt goes to the leader, because a hint can be outdated and a voter out of reach.
+    // Alternates between the leader and the voters, because the known leader may be outdated and a voter unreachable.
     if (!view.leader.empty() && failures % 2 == 0) {
         return view.leader;
     }
--- a/src/membership/renewal.cpp
+++ b/src/membership/renewal.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-/** Replies later than this many requests are useless, because the leases they renew have been renewed since. */
+/** Limit of the unanswered requests. Later replies are useless, because newer requests have renewed the same leases. */
 constexpr std::size_t maximumSentRenewals = 32;
-/** Bounds the request of a relay: more followers than a fleet of the expected size has instances. */
+/** Bounds the request of a relay; exceeds the number of instances in a fleet of the expected size. */
 constexpr std::size_t maximumDownstreamRequests = 1024;
 constexpr Duration shortestRenewalInterval = milliseconds(100);
-/** A lost instance is noticed by its missing renewals; the session time is 3 s. */
+/** The leader detects a failed instance by its missing renewals within the session time of 3 s. */
 constexpr Duration longestRenewalInterval = seconds(1);
-/** Five renewals of a pool lease of 3 s may be lost. */
+/** Tolerates the loss of five renewals of a pool lease of 3 s. */
 constexpr Duration poolRenewalInterval = milliseconds(500);
 constexpr int renewalsInFreshnessTime = 10;
 
@@ -34,7 +34,7 @@
            });
 }
 
-/** @p until is the end of this instance's own lease from @p upstream. */
+/** Reply to a downstream request. @p until is the end of this instance's own freshness lease from @p upstream. */
 RenewReply replyTo(const RenewRequest &request, const RenewReply &upstream, TimePoint until, TimePoint now)
 {
     RenewReply reply;
@@ -58,8 +58,8 @@
 }
 
 /**
- * Adds the followers and pools of an earlier request of the same instance. Without this, a relay that sends more often than its
- * upstream instance would lose the requests of followers that send less often.
+ * Merges the followers and pools of an earlier request of the same instance. Without this, if a relay sends more often than
+ * its upstream instance, a request without the followers that send less often would replace one that contains them.
  */
 void mergeEarlierRequest(RenewRequest &request, const RenewRequest &earlier)
 {
@@ -140,7 +140,7 @@
     state.echo = std::max(state.echo, reply.stamp);
     TimePoint until = neverTime;
     if (reply.remaining > Duration::zero()) {
-        // The lease runs from the send time: the leader was certainly still the leader then, whatever the way back took.
+        // The lease starts at the send time: the leader confirmed its leadership after that, however long the reply took.
         until = sent->sentAt + reply.remaining;
         state.freshUntil = std::max(state.freshUntil, until);
     }
@@ -150,7 +150,7 @@
             outcome.ownPools.push_back(pool);
         }
     }
-    // Earlier requests without a reply of their own were merged into this one on their way.
+    // Earlier requests that got no reply were merged into this one by an upstream relay.
     for (auto renewal = state.sent.begin(); renewal != std::next(sent); ++renewal) {
         for (const RenewRequest &request : renewal->downstream) {
             outcome.replies.emplace_back(request.self.instance, replyTo(request, reply, until, now));
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -13,7 +13,7 @@
     return std::chrono::duration_cast<milliseconds>(duration).count();
 }
 
-/** Makes an older run of the same instance irrelevant. */
+/** Discards the state of an older incarnation of the instance. */
 void startNewIncarnation(KnownInstance &known, const InstanceRecord &record)
 {
     known.record = record;
@@ -23,7 +23,7 @@
     known.relay = false;
 }
 
-/** Returns nothing for this instance itself, an older incarnation, or when the table is full. */
+/** Adds or updates an instance. Returns null for this instance itself, for an older incarnation, and if the table is full. */
 KnownInstance *merge(View &view, const InstanceRecord &record, TimePoint lastSeenAt)
 {
     if (record.name == view.self.name) {
@@ -66,7 +66,7 @@
     if (view.known.empty()) {
         return sample;
     }
-    // A run of neighbours from a random start: each entry is equally likely, and nothing needs a copy of the table.
+    // Consecutive entries from a random start: each entry is equally likely, without a copy of the table.
     auto next = std::next(view.known.begin(), static_cast<std::ptrdiff_t>(random() % view.known.size()));
     for (std::size_t i = 0; i < std::min(view.options.sampleSize, view.known.size()); ++i) {
         const KnownInstance &known = next->second;
@@ -91,7 +91,10 @@
     return heartbeat;
 }
 
-/** One instance of each other failure domain: its relay, or a different member at each turn until a relay has answered. */
+/**
+ * Heartbeat targets in the other failure domains: for each an alive relay, or else one of its known relays, or of all its
+ * members if no relay is known, in rotation. If its known relays are not alive, one of all its members in addition.
+ */
 std::vector<const KnownInstance *> remoteRelays(const View &view)
 {
     std::map<std::string_view, std::vector<const KnownInstance *>> relays;
@@ -128,7 +131,7 @@
         }
     }
     const bool isRelay = view.relay == view.self.name;
-    // One last heartbeat says that this instance is no relay any more, so that its silence is not taken for a loss.
+    // A final heartbeat announces that this instance is no longer the relay, so that remote relays do not count its silence as a failure.
     const bool stepsDown = wasRelay && !isRelay;
     if (stepsDown || (isRelay && view.tick % view.options.remoteIntervalFactor == 0)) {
         const auto remote = remoteRelays(view);
@@ -164,7 +167,7 @@
 {
     const auto found = view.known.find(from);
     if (found == view.known.end() || found->second.record.incarnation != heartbeat.incarnation) {
-        return; // the Hello of a new process comes first on its connection
+        return; // a new process sends its Hello before its first heartbeat
     }
     KnownInstance &known = found->second;
     known.lastSeenAt = now;
@@ -172,7 +175,7 @@
     known.remoteSentAt = std::max(known.remoteSentAt, heartbeat.sentAt);
     known.relay = heartbeat.relay;
     if (heartbeat.echoIncarnation == view.self.incarnation && heartbeat.echoSentAt != 0) {
-        // An echo from the future or the distant past is malformed; arithmetic with it could overflow.
+        // An echo from the future or the distant past is invalid, and arithmetic with it could overflow.
         const TimePoint echo = fromNanoseconds(heartbeat.echoSentAt);
         if (echo <= now && echo > now - view.options.expirationTime) {
             known.lastAcknowledgedAt = std::max(known.lastAcknowledgedAt, echo);
