--- a/tests/membership/feed.cpp
+++ b/tests/membership/feed.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Applies updates like the state machine would: the sum of the payload bytes. */
+/** Subscriber whose state is the sum of the payload bytes that it has applied. */
 struct Follower
 {
     FeedReader reader;
@@ -40,7 +40,7 @@
     }
 };
 
-/** Sends all pending updates but those with a number that @p lose accepts. Returns the number of updates. */
+/** Sends all pending updates and drops those whose number satisfies @p isLost. Returns the number of updates sent. */
 template<typename IsLost>
 std::size_t deliverUpdates(Feed &feed, Follower &follower, IsLost isLost)
 {
@@ -63,8 +63,9 @@
 
 } // namespace
 
-// Guards against followers that miss a change, apply one twice, or go back to an older state.
-TEST_CASE("A follower reads the control state")
+// Guards against followers that skip a change, apply one twice, or return to an older state, after updates are lost,
+// duplicated, malformed or too large for a frame.
+TEST_CASE("A follower applies the updates of the control state in order")
 {
     Feed feed;
     for (Version index = 1; index <= 100; ++index) {
@@ -74,7 +75,7 @@
     Follower follower;
     onSubscribe(feed, "f", {InstanceId(1), 1, 0});
 
-    SECTION("without state it waits for a snapshot, then gets the increments after it")
+    SECTION("a follower without state waits for a snapshot, then gets the increments after it")
     {
         REQUIRE(needsSnapshot(feed));
         REQUIRE_FALSE(nextUpdate(feed, "f", "").has_value());
@@ -84,7 +85,7 @@
         REQUIRE(follower.reader.applied == 100);
         REQUIRE(follower.sum == 100);
 
-        SECTION("a lost update is noticed at the next one and requested again")
+        SECTION("a lost update is detected at the next one and requested again")
         {
             REQUIRE(append(feed, {101, {1}}));
             deliverUpdates(feed, follower, [](std::size_t) {
@@ -95,7 +96,7 @@
             REQUIRE(follower.reader.applied == 102);
             REQUIRE(follower.sum == 102);
         }
-        SECTION("an update that comes twice, or an older snapshot, changes nothing")
+        SECTION("a duplicate update or an older snapshot changes nothing")
         {
             Update old{true, 60, 60, 0, 1, "", std::vector<std::uint8_t>(60, 1)};
             REQUIRE_FALSE(follower.receive(old).has_value());
@@ -110,7 +111,7 @@
         }
     }
 
-    SECTION("a snapshot larger than a frame comes in parts, and a lost part restarts it")
+    SECTION("a snapshot larger than a frame is sent in parts, and a lost part restarts it")
     {
         setSnapshot(feed, 100, std::vector<std::uint8_t>(maximumUpdateBytes * 2 + 5, 2));
         const std::size_t updates = deliverUpdates(feed, follower, [](std::size_t number) {
--- a/tests/membership/leases.cpp
+++ b/tests/membership/leases.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t firstSeed = 20261204;
 constexpr std::uint64_t seedCount = 200;
 
-/** About one fault every 1.5 s: cuts in one or both directions, pauses, crashes, leader changes, handovers. */
+/** Injects a fault about every 1.5 s: link cuts in one or both directions, pauses, crashes, leader changes, handovers. */
 void randomFault(LeaseSimulation &simulation)
 {
     if (simulation.randomBelow(150) != 0) {
@@ -48,7 +48,7 @@
         simulation.nodes[node].pausedUntil = simulation.now + static_cast<std::int64_t>(simulation.randomBelow(6'000'000'000));
         break;
     case 7:
-        // Half of the crashes come with a cut, so that the owner cannot ask again for the promise that the crash has lost.
+        // In half of the crashes the link to the owner is cut, so that the owner cannot request the lost promise again.
         simulation.crash(node, milliseconds(50 + simulation.randomBelow(4'000)));
         if (node != owner && simulation.randomBelow(2) == 0) {
             simulation.setLinkCut(node, owner, true);
@@ -81,8 +81,8 @@
         LeaseSimulation simulation(seed, 2 + seed % 3, mutation);
         simulation.throughRelay = seed % 2 == 0;
         simulation.maximumDelay = milliseconds(200);
-        simulation.loss = 0.05;
-        // The last instance joins later, so that an isolated owner may not know it.
+        simulation.lossRate = 0.05;
+        // The last instance joins later, so that an isolated owner may not know it as a peer.
         for (std::size_t node = 1; node + 1 < simulation.nodes.size(); ++node) {
             simulation.startNode(node);
         }
@@ -102,7 +102,7 @@
     return violations;
 }
 
-/** The successor of an isolated owner forgets its promise in a crash, and the owner cannot ask for it again. */
+/** The successor of an isolated owner loses its promise in a crash, and the owner cannot request it again. */
 std::size_t doubleOwnersAfterForgottenPromise(Mutation mutation)
 {
     LeaseSimulation simulation(firstSeed, 2, mutation);
@@ -118,7 +118,7 @@
     return simulation.doubleOwners;
 }
 
-/** An instance joins while the only owner is isolated, so that the owner does not ask it for promises. */
+/** An instance joins while the only owner is isolated, so that the owner does not request promises from it. */
 std::size_t doubleOwnersAfterUnknownSuccessor(Mutation mutation)
 {
     LeaseSimulation simulation(firstSeed, 2, mutation);
@@ -135,8 +135,9 @@
 
 } // namespace
 
-// Guards against two instances that give out the same servers, and against an instance that serves a configuration which
-// an acknowledgement has called replaced.
+// Guards against two instances that own the same pool at once and so both assign its servers, and against an instance that
+// serves a configuration after its replacement was acknowledged. Both happen when an instance relies on a lease
+// that the leader or a peer regards as expired.
 TEST_CASE("Leases hold under loss, delay, cuts, pauses, crashes and leader changes")
 {
     WARN("seeds " << firstSeed << " to " << firstSeed + seedCount - 1);
@@ -154,19 +155,19 @@
     }
 }
 
-// Guards against checks that pass whatever the decisions do.
-TEST_CASE("The checks find deliberate mistakes")
+// Guards against invariant checks that cannot fail: each mutation breaks one rule of the leases and must be detected.
+TEST_CASE("The lease checks detect deliberately broken rules")
 {
-    SECTION("a lease that is counted from the receipt of the reply")
+    SECTION("a lease measured from the receipt of the reply")
     {
         const Violations violations = runSeeds(Mutation::LeaseFromReceipt);
         REQUIRE(violations.staleWithLease > 0);
     }
-    SECTION("a promise that is counted from its receipt")
+    SECTION("a promise measured from its receipt")
     {
         REQUIRE(runSeeds(Mutation::PromiseFromReceipt).doubleOwners > 0);
     }
-    SECTION("a process that accepts pools at once after a restart")
+    SECTION("a process that takes over pools immediately after a restart")
     {
         REQUIRE(doubleOwnersAfterForgottenPromise(Mutation::None) == 0);
         REQUIRE(doubleOwnersAfterForgottenPromise(Mutation::NoWaitAfterRestart) > 0);
@@ -180,18 +181,19 @@
     {
         REQUIRE(runSeeds(Mutation::NewLeaderForgetsLeases).staleWithLease > 0);
     }
-    SECTION("an instance that starts in spite of its promise")
+    SECTION("an instance that takes over a pool in spite of its promise")
     {
         REQUIRE(runSeeds(Mutation::PromisesIgnored).doubleOwners > 0);
     }
-    SECTION("a relay that renews its followers without an answer of the leader")
+    SECTION("a relay that renews leases of its followers without a reply of the leader")
     {
         REQUIRE(runSeeds(Mutation::RelayRenewsAlone).staleWithLease > 0);
     }
 }
 
-// Guards against loss of service while a failure domain is isolated, and against pools that stay with a lost owner.
-TEST_CASE("Ownership follows failures")
+// Guards against pools without an owner while a failure domain is isolated from the leader, and against pools that stay with
+// a failed owner or move back and forth.
+TEST_CASE("Pool ownership moves away from failed instances")
 {
     LeaseSimulation simulation(firstSeed, 3);
     simulation.startAndStabilize();
@@ -202,7 +204,7 @@
     }
     const std::size_t victim = owners[1];
 
-    SECTION("a failure domain that is cut off as a whole keeps its owners without a gap")
+    SECTION("a failure domain that is isolated as a whole keeps its owners without interruption")
     {
         for (std::size_t node = 1; node <= 3; ++node) {
             simulation.setLinkCut(0, node, true);
@@ -212,7 +214,7 @@
         for (std::size_t pool = 1; pool <= LeaseSimulation::poolCount; ++pool) {
             REQUIRE(simulation.ownerOf(pool) == owners.at(pool));
         }
-        SECTION("and still has them after the return")
+        SECTION("and keeps them after it is reconnected")
         {
             simulation.cuts.clear();
             simulation.run(seconds(60));
@@ -221,14 +223,14 @@
         }
     }
 
-    SECTION("a single instance that is cut off loses its pools within the lease time")
+    SECTION("a single isolated instance loses its pools within the lease time")
     {
         for (std::size_t other = 0; other <= 3; ++other) {
             simulation.setLinkCut(victim, other, true);
         }
         simulation.run(milliseconds(3'050)); // 3 s on a clock that is 1% slow
         REQUIRE(simulation.ownerOf(1) != victim);
-        SECTION("another instance owns them soon after")
+        SECTION("another instance owns them within 2 s")
         {
             simulation.run(seconds(2));
             REQUIRE(simulation.ownerOf(1) != 0);
@@ -236,7 +238,7 @@
         }
     }
 
-    SECTION("an instance that only sends, but receives nothing, loses its pools once")
+    SECTION("an instance that can send but not receive loses its pools once")
     {
         for (std::size_t other = 0; other <= 3; ++other) {
             simulation.cuts.emplace(other, victim);
@@ -261,7 +263,7 @@
         REQUIRE(simulation.ownerOf(1) != victim);
     }
 
-    SECTION("an instance that shuts down hands its pools over without a wait for a lease")
+    SECTION("an instance that shuts down hands its pools over without waiting for a lease to expire")
     {
         simulation.stopAccepting(victim);
         simulation.run(milliseconds(1'500));
--- a/tests/membership/leasesimulation.cpp
+++ b/tests/membership/leasesimulation.cpp
@@ -17,7 +17,7 @@
 
 LeaseSimulation::LeaseSimulation(std::uint64_t seed, std::size_t instances, Mutation mutation) : random(seed), nodes(instances + 1), m_mutation(mutation)
 {
-    // Rate errors up to 1% in both directions, offsets of up to an hour before and after.
+    // Rate errors of up to 1% and offsets of up to an hour, in both directions.
     const auto drawClock = [this] {
         const double rate = 1 + 0.01 * (static_cast<double>(randomBelow(2001)) - 1000) / 1000;
         return DriftingClock{rate, static_cast<std::int64_t>(randomBelow(7200)) * second - 3600 * second};
@@ -39,11 +39,11 @@
 
 void LeaseSimulation::send(std::size_t from, std::size_t to, std::function<void()> deliver)
 {
-    if (cuts.contains({from, to}) || (from != to && static_cast<double>(randomBelow(1000)) < loss * 1000)) {
+    if (cuts.contains({from, to}) || (from != to && static_cast<double>(randomBelow(1000)) < lossRate * 1000)) {
         return;
     }
     const auto bound = static_cast<std::uint64_t>(std::chrono::nanoseconds(maximumDelay).count());
-    // One message in 50 takes up to 5 s, longer than a pool lease, while delays are on.
+    // With long delays enabled, one message in 50 takes up to 5 s, which is longer than a pool lease.
     const bool late = maximumDelay > milliseconds(20) && randomBelow(50) == 0;
     const auto delay = static_cast<std::int64_t>(late ? randomBelow(5 * static_cast<std::uint64_t>(second)) : randomBelow(bound + 1));
     m_messages.emplace(now + delay, Message{from, to, nodes[to].incarnation, std::move(deliver)});
@@ -294,14 +294,14 @@
                 });
             }
         });
-        return; // one pool at a time
+        return; // release one pool per call
     }
 }
 
 void LeaseSimulation::changeLeader()
 {
     m_leaderClock = (m_leaderClock + 1) % m_leaderClocks.size();
-    commitChange(); // the entry of the new term
+    commitChange(); // the first entry of the new term
     const TimePoint local = m_leaderClocks[m_leaderClock].at(now);
     m_leader = makeLeaderState(m_leader.term + 1, {}, m_index, m_committed.registered, m_committed.pools, local);
     if (m_mutation == Mutation::NewLeaderForgetsLeases) {
@@ -338,7 +338,7 @@
 {
     bool allOwned = true;
     for (std::uint32_t pool = 1; pool <= poolCount; ++pool) {
-        // A paused process counts: it may wake at any time and act on what it holds.
+        // A paused process counts: it may resume at any time and act on the leases that it holds.
         const auto owners = std::count_if(nodes.begin() + 1, nodes.end(), [&](const Node &node) {
             return node.running && ownsPool(node.holder, PoolId(pool), node.clock.at(now));
         });
--- a/tests/membership/leasesimulation.h
+++ b/tests/membership/leasesimulation.h
@@ -15,7 +15,7 @@
 
 namespace mimosahollow::membership::test {
 
-/** Deliberate mistakes that the checks must find. */
+/** Deliberately broken rules that the checks must detect. */
 enum class Mutation {
     None,
     LeaseFromReceipt,
@@ -34,7 +34,7 @@
     std::vector<PoolAssignment> pools;
 };
 
-/** Clock with a rate error and an offset. */
+/** Clock with a rate error and an offset, relative to the virtual time. */
 struct DriftingClock
 {
     double rate = 1;
@@ -53,18 +53,18 @@
     bool registered = false;
     std::uint64_t incarnation = 0;
     std::int64_t pausedUntil = 0;
-    std::int64_t startAt = 0; /**< A crashed process starts again then; 0: not planned. */
+    std::int64_t startAt = 0; /**< Time of the restart after a crash; 0: none is scheduled. */
     TimePoint nextRenewal{};
     PoolHolder holder;
     RenewalState renewal;
-    ControlState state; /**< At renewal.applied. */
+    ControlState state; /**< At log index renewal.applied. */
 };
 
 /**
  * Instances 1 to n of one failure domain, and a control leader (address 0), in virtual time.
  *
- * The log and the majority are ideal: the active leader commits at once. Everything else goes through a network that
- * loses, delays and cuts messages in each direction, with clocks that differ in offset and rate.
+ * The log and the majority are ideal: the active leader commits immediately. All other messages go through a network that
+ * can drop, delay or block them in each direction. The clocks differ in offset and rate.
  */
 class LeaseSimulation
 {
@@ -75,9 +75,9 @@
 
     LeaseSimulation(std::uint64_t seed, std::size_t instances, Mutation mutation = Mutation::None);
 
-    /** Runs for @p duration; @p faults is called in each step. */
+    /** Advances the simulation by @p duration; calls @p faults in each step. */
     void run(Duration duration, const std::function<void()> &faults = {});
-    /** Everything is registered, has an owner, and the owner is valid. */
+    /** Starts all instances, runs for 20 s so that all of them register and every pool gets a valid owner, and resets the counters. */
     void startAndStabilize();
 
     void startNode(std::size_t node);
@@ -93,15 +93,15 @@
     std::mt19937_64 random;
     std::int64_t now = 0;
     std::vector<Node> nodes; /**< Index 0 is unused. */
-    std::set<std::pair<std::size_t, std::size_t>> cuts; /**< Directions that lose everything. */
-    double loss = 0;
+    std::set<std::pair<std::size_t, std::size_t>> cuts; /**< Pairs of sender and receiver between which all messages are dropped. */
+    double lossRate = 0;
     Duration maximumDelay = milliseconds(20);
-    bool throughRelay = false; /**< Node 1 is the relay of the others. */
+    bool throughRelay = false; /**< Whether node 1 is the relay of the others. */
 
     // Results of the checks.
-    std::size_t doubleOwners = 0;
-    std::size_t staleWithLease = 0;
-    std::size_t ownedSteps = 0; /**< Steps in which each pool had an owner. */
+    std::size_t doubleOwners = 0; /**< Pools with more than one owner, summed over the steps. */
+    std::size_t staleWithLease = 0; /**< Nodes with a freshness lease but behind the acknowledged index, summed over the steps. */
+    std::size_t ownedSteps = 0; /**< Steps in which each pool had exactly one owner. */
     std::size_t freshSteps = 0;
     Version acknowledged = 0;
     std::uint64_t reassignments = 0;
--- a/tests/membership/view.cpp
+++ b/tests/membership/view.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t seed = 20261204;
 
-/** Views of several instances that exchange heartbeats without delay, on clocks with different offsets. */
+/** Instances that exchange heartbeats without delay, with clocks at different offsets. */
 struct Fleet
 {
     std::vector<View> views;
@@ -42,7 +42,7 @@
         });
     }
 
-    /** Each instance has its own clock: an offset of an hour for each position. */
+    /** Clock of an instance: offset by an hour per index. */
     [[nodiscard]] TimePoint clockOf(std::size_t index) const
     {
         return now + seconds(3600) * static_cast<int>(index);
@@ -90,8 +90,9 @@
 
 } // namespace
 
-// Guards against instances that never learn of each other, and against suspicion that is late or wrong.
-TEST_CASE("Instances learn of each other and watch each other")
+// Guards against instances that gossip never makes known to each other, and against failures that are detected late or
+// falsely, for example on links that work in one direction only.
+TEST_CASE("Instances discover each other and detect failures")
 {
     WARN("seed " << seed);
     Fleet fleet;
@@ -103,7 +104,7 @@
     fleet.add("b3", "b", "b2");
     fleet.run(seconds(60));
 
-    SECTION("each knows all, and each failure domain agrees on one relay")
+    SECTION("every instance knows all others, and each failure domain agrees on one relay")
     {
         for (const View &view : fleet.views) {
             REQUIRE(view.known.size() == 5);
@@ -118,7 +119,7 @@
         REQUIRE(fleet.suspicions.empty());
     }
 
-    SECTION("a silent instance is suspected after four heartbeats, and a new relay is chosen at once")
+    SECTION("an instance is suspected after four missed heartbeats, and a new relay is chosen immediately")
     {
         const std::string relay = *fleet.relays("a").begin();
         const std::string other = relay == "a1" ? "a2" : "a1";
@@ -142,7 +143,7 @@
         REQUIRE(isAlive(fleet.find("a1"), "a3"));
     }
 
-    SECTION("a flapping link is suspected less and less often, because recovery takes longer each time")
+    SECTION("a flapping link causes few suspicions, because recovery takes longer each time")
     {
         for (int turn = 0; turn < 60; ++turn) {
             if (turn % 2 == 0) {
@@ -152,9 +153,9 @@
             }
             fleet.run(seconds(5));
         }
-        // Recovery takes 0, 2, 4, 8 s: the fourth exceeds the 5 s of a good phase.
+        // Recovery takes 0, 2, 4, 8 s: the fourth exceeds the 5 s for which the link works.
         REQUIRE(fleet.suspicions[{"a3", "a2"}] <= 3);
-        SECTION("and the relay does not follow the flapping")
+        SECTION("and the relay does not change with each flap")
         {
             const std::size_t before = fleet.relayChanges;
             fleet.run(seconds(120));
@@ -162,7 +163,7 @@
         }
     }
 
-    SECTION("a restarted instance is known by its new incarnation, and the old one is ignored")
+    SECTION("after a restart the new incarnation replaces the old one, which is then ignored")
     {
         View &a1 = fleet.find("a1");
         InstanceRecord restarted = a1.known.at("a2").record;
@@ -175,7 +176,7 @@
         REQUIRE(a1.known.at("a2").record.incarnation == 2);
     }
 
-    SECTION("an echo from the future is no proof of contact")
+    SECTION("an echo from the future or the distant past is ignored")
     {
         View &a1 = fleet.find("a1");
         const TimePoint before = a1.known.at("a2").lastAcknowledgedAt;
@@ -188,8 +189,9 @@
     }
 }
 
-// Guards against relays that follow each other in a circle, which would leave a failure domain without control state.
-TEST_CASE("Relays do not follow each other in a circle")
+// Guards against relays that subscribe to each other in a cycle, which would cut a failure domain off from the control
+// state. Instances may choose different relays while links between them are cut.
+TEST_CASE("Relays do not subscribe to each other in a cycle")
 {
     WARN("seed " << seed);
     Fleet fleet;
