--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -62,7 +62,7 @@
     m_registry.options = m_settings.registry;
     m_placement.options = m_settings.placement;
     m_placement.slots.options = m_settings.orderSlots;
-    m_bank.options = m_settings.bank;
+    m_rateLimiter.options = m_settings.rateLimiter;
 }
 
 Coordinator::~Coordinator()
@@ -175,7 +175,7 @@
     const TimePoint now = Clock::now();
     if (leads()) {
         if (m_catalog) {
-            allowance::configure(m_bank, m_catalog->catalog());
+            allowance::configure(m_rateLimiter, m_catalog->catalog());
         }
         applyOrderHolders();
         m_placement.namedVersions = {m_state.adapterVersions.begin(), m_state.adapterVersions.end()};
@@ -210,8 +210,8 @@
     observability::DecisionLine line("leader");
     line.add("term", term).add("index", m_state.index).add("catalog", m_state.catalogVersion);
     observability::logDecision(line.text());
-    m_bank.accounts.clear();
-    m_bank.grantsStartAt = now + m_bank.options.takeoverDelay;
+    m_rateLimiter.accounts.clear();
+    m_rateLimiter.grantsStartAt = now + m_rateLimiter.options.takeoverDelay;
     m_entries.clear();
     m_unconfirmedReports.clear();
     m_confirmingReports.clear();
@@ -243,13 +243,10 @@
     return heard > voters / 2;
 }
 
-/**
- * Starts granting tokens before the end of the handover time if all connected entry instances have reported what they spent from the
- * grants of the earlier leader.
- */
-void Coordinator::openTokenBank(TimePoint now)
+/** Starts granting tokens before the takeover delay ends if all connected entry instances have reported what they spent from earlier grants. */
+void Coordinator::startGrantsEarly(TimePoint now)
 {
-    if (now >= m_bank.grantsStartAt || now - m_leadsSince < m_settings.handoverMinimum) {
+    if (now >= m_rateLimiter.grantsStartAt || now - m_leadsSince < m_settings.minimumTakeoverDelay) {
         return;
     }
     for (const fleetlink::Peer &peer : m_hub->peers()) {
@@ -258,7 +255,7 @@
             return;
         }
     }
-    m_bank.grantsStartAt = now;
+    m_rateLimiter.grantsStartAt = now;
 }
 
 void Coordinator::loseLeadership()
--- a/src/coordinator/coordinator.h
+++ b/src/coordinator/coordinator.h
@@ -116,7 +116,7 @@
     void tick(TimePoint now);
     void planVoters(TimePoint now);
     [[nodiscard]] bool hasMajorityContact(TimePoint now) const;
-    void openTokenBank(TimePoint now);
+    void startGrantsEarly(TimePoint now);
 
     void linkOpened(const fleetlink::Peer &peer);
     void linkClosed(const fleetlink::Peer &peer);
@@ -170,7 +170,7 @@
 
     bool m_isLeading = false; // set once the first entry of the own term as leader is applied
     TimePoint m_leadsSince{};
-    allowance::RateLimiter m_bank;
+    allowance::RateLimiter m_rateLimiter;
     placement::PlacementState m_placement;
     struct HolderCandidate
     {
--- a/src/coordinator/coordinatorlinks.cpp
+++ b/src/coordinator/coordinatorlinks.cpp
@@ -207,21 +207,21 @@
     if (report.hasHistory && !entry.hasHistory) {
         entry.hasHistory = true;
         for (const fleetlink::SpentTokens &spent : report.spent) {
-            allowance::recordPastUse(m_bank, spent.organisation, spent.tokens, milliseconds(spent.ageMilliseconds), now);
+            allowance::recordPastUse(m_rateLimiter, spent.organisation, spent.tokens, milliseconds(spent.ageMilliseconds), now);
         }
     }
-    openTokenBank(now);
+    startGrantsEarly(now);
     for (const fleetlink::NamedNumber &returned : report.returned) {
-        allowance::returnTokens(m_bank, returned.name, returned.value);
+        allowance::returnTokens(m_rateLimiter, returned.name, returned.value);
     }
     for (const fleetlink::NamedNumber &wish : report.tokenWishes) {
-        if (!entry.hasHistory || !m_bank.accounts.contains(wish.name)) {
+        if (!entry.hasHistory || !m_rateLimiter.accounts.contains(wish.name)) {
             continue; // no history yet, or the organisation's rate was removed and the entry instance does not know it yet
         }
-        const double granted = allowance::grant(m_bank, wish.name, wish.value, now);
+        const double granted = allowance::grant(m_rateLimiter, wish.name, wish.value, now);
         entry.granted[wish.name] += granted;
-        if (granted < wish.value && now >= m_bank.grantsStartAt) {
-            const allowance::RateLimitAccount &account = m_bank.accounts[wish.name];
+        if (granted < wish.value && now >= m_rateLimiter.grantsStartAt) {
+            const allowance::RateLimitAccount &account = m_rateLimiter.accounts[wish.name];
             observability::DecisionLine line("tokens-short");
             line.add("entry", peer.hello.name).add("organisation", wish.name).add("wish", static_cast<std::uint64_t>(wish.value));
             line.add("granted", static_cast<std::uint64_t>(granted)).add("rate", static_cast<std::uint64_t>(account.ratePerSecond));
@@ -284,7 +284,7 @@
             continue;
         }
         EntryView &entry = found->second;
-        fleetlink::LeaderReply reply{entry.stamp, index, entries, {}, {}, !entry.hasHistory, now >= m_bank.grantsStartAt, loadMilliseconds};
+        fleetlink::LeaderReply reply{entry.stamp, index, entries, {}, {}, !entry.hasHistory, now >= m_rateLimiter.grantsStartAt, loadMilliseconds};
         for (const auto &[organisation, tokens] : entry.granted) {
             reply.tokens.push_back({organisation, tokens});
         }
--- a/src/coordinator/coordinatorsettings.h
+++ b/src/coordinator/coordinatorsettings.h
@@ -41,11 +41,11 @@
     Duration electionSpread = milliseconds(150);
     Duration creditInterval = milliseconds(200); /**< Between credits to the leader; three fit into the silence after which a coordinator gets no orders. */
     Duration orderTimeout = milliseconds(500); /**< For an order through another coordinator: the engine's response time and two hops. */
-    Duration handoverMinimum = milliseconds(150); /**< Minimum wait before grants start; entry instances connect to a new leader within this time. */
+    Duration minimumTakeoverDelay = milliseconds(150); /**< Minimum wait before grants start; entry instances connect to a new leader within this time. */
     Duration tickInterval = milliseconds(25); /**< A quarter of a heartbeat. */
     control::ConsensusOptions consensus = consensusDefaults();
     registry::RegistryOptions registry;
-    allowance::RateLimiterOptions bank;
+    allowance::RateLimiterOptions rateLimiter;
     placement::PlacementOptions placement;
     placement::OrderSlotOptions orderSlots;
     voterplan::VoterPlanOptions voterPlan;
