--- a/benchmark/control.cpp
+++ b/benchmark/control.cpp
@@ -216,7 +216,7 @@
             if (entry.kind == EntryKind::Command) {
                 static_cast<void>(control::apply(m_state, entry.index, std::get<Command>(link::decodeCommand(*entry.payload))));
             } else {
-                skipTo(m_state, entry.index);
+                skipEntry(m_state, entry.index);
             }
             const auto found = m_waiting.find(entry.index);
             if (found != m_waiting.end()) {
@@ -348,13 +348,13 @@
         state = std::get<ControlState>(decodeSnapshot(*log.snapshotData));
     }
     for (const LogEntry &entry : log.entries) {
-        if (entry.index > state.applied) {
+        if (entry.index > state.appliedIndex) {
             static_cast<void>(apply(state, entry.index, std::get<Command>(link::decodeCommand(*entry.payload))));
         }
     }
     const double duration = toSeconds(Clock::now() - start);
-    if (state.applied != expected) {
-        stop("the recovery ends at entry " + std::to_string(state.applied));
+    if (state.appliedIndex != expected) {
+        stop("the recovery ends at entry " + std::to_string(state.appliedIndex));
     }
     return duration;
 }
--- a/include/mimosahollow/control/audit.h
+++ b/include/mimosahollow/control/audit.h
@@ -25,8 +25,8 @@
 /** Newest part of the audit log and the hash that it continues from. */
 struct AuditLog
 {
-    Digest start{}; /**< Hash of the last record that was dropped; zero at the beginning. */
-    std::uint64_t dropped = 0;
+    Digest precedingHash{}; /**< Hash of the last record that was dropped; zero at the beginning. */
+    std::uint64_t droppedRecords = 0;
     std::deque<AuditRecord> records;
 };
 
--- a/include/mimosahollow/control/backendserver.h
+++ b/include/mimosahollow/control/backendserver.h
@@ -14,7 +14,7 @@
     DomainId domain{};
     std::string kind; /**< Name of the base model or of the plain service. */
     std::string address; /**< "IP:port". */
-    bool out = false; /**< Taken out of service by an operator. */
+    bool outOfService = false; /**< Taken out of service by an operator. */
 
     friend bool operator==(const BackendServer &, const BackendServer &) = default;
 };
--- a/include/mimosahollow/control/chunkedlist.h
+++ b/include/mimosahollow/control/chunkedlist.h
@@ -20,7 +20,7 @@
 {
 public:
     /** 256 adapters are about 40 KB; the table of chunks for 93,000 adapters about 6 KB. */
-    static constexpr std::size_t chunkElements = 256;
+    static constexpr std::size_t chunkSize = 256;
 
     class const_iterator // NOLINT(readability-identifier-naming): name expected by the standard library
     {
@@ -124,8 +124,8 @@
     }
     [[nodiscard]] const T &operator[](std::size_t index) const
     {
-        const std::size_t chunk = index / chunkElements;
-        return chunk < m_chunks.size() ? (*m_chunks[chunk])[index % chunkElements] : m_tail[index % chunkElements];
+        const std::size_t chunk = index / chunkSize;
+        return chunk < m_chunks.size() ? (*m_chunks[chunk])[index % chunkSize] : m_tail[index % chunkSize];
     }
     [[nodiscard]] const T &back() const
     {
@@ -144,21 +144,21 @@
     {
         m_tail.push_back(std::move(element));
         ++m_size;
-        if (m_tail.size() == chunkElements) {
+        if (m_tail.size() == chunkSize) {
             m_chunks.push_back(std::make_shared<const Chunk>(std::move(m_tail)));
             m_tail = Chunk();
         }
     }
 
     /** The element at @p index for a change; copies its chunk. */
-    [[nodiscard]] T &writable(std::size_t index)
+    [[nodiscard]] T &mutableAt(std::size_t index)
     {
-        const std::size_t chunk = index / chunkElements;
+        const std::size_t chunk = index / chunkSize;
         if (chunk >= m_chunks.size()) {
-            return m_tail[index % chunkElements];
+            return m_tail[index % chunkSize];
         }
         auto copy = std::make_shared<Chunk>(*m_chunks[chunk]);
-        T &element = (*copy)[index % chunkElements];
+        T &element = (*copy)[index % chunkSize];
         m_chunks[chunk] = std::move(copy);
         return element;
     }
--- a/include/mimosahollow/control/command.h
+++ b/include/mimosahollow/control/command.h
@@ -24,10 +24,10 @@
 /** BLAKE2b with 32 bytes. */
 using Digest = std::array<std::uint8_t, 32>;
 
-/** Puts a bundle in force when @c expected is the version in force. */
+/** Puts a bundle in force when @c expectedVersion is the version in force. */
 struct ApplyBundle
 {
-    Version expected = 0;
+    Version expectedVersion = 0;
     std::shared_ptr<const Configuration> configuration; /**< Parsed bundle; its ids are only valid within it. */
     std::string author;
     std::string approver;
@@ -52,13 +52,13 @@
 struct SetDomainOut
 {
     std::string domain;
-    bool out = true;
+    bool outOfService = true;
 };
 
 struct SetServerOut
 {
     std::string server;
-    bool out = true;
+    bool outOfService = true;
 };
 
 /** Adds an adapter version outside of bundles, or changes who may use it; later bundles keep it. */
@@ -84,7 +84,7 @@
     std::string name;
     std::string domain;
     std::string address;
-    std::uint64_t process = 0;
+    std::uint64_t incarnation = 0;
 };
 
 struct RemoveInstance
@@ -92,19 +92,19 @@
     InstanceId instance{};
 };
 
-/** Gives a pool to an instance when @c expected is its present fencing number; the state machine gives the next one. */
+/** Gives a pool to an instance when @c expectedFencing is its present fencing number; the state machine gives the next one. */
 struct AssignPool
 {
     PoolId pool{};
     InstanceId owner{};
-    FencingNumber expected = 0;
+    FencingNumber expectedFencing = 0;
 };
 
 struct AssignBucketOwner
 {
     DomainId domain{};
     InstanceId owner{};
-    FencingNumber expected = 0;
+    FencingNumber expectedFencing = 0;
 };
 
 /** Identifies a call that must not run twice. */
@@ -120,25 +120,25 @@
 struct BeginCall
 {
     CallKey call;
-    Digest request{}; /**< Hash of method, path and body. */
-    InstanceId entry{}; /**< Instance that would run the call. */
+    Digest requestHash{}; /**< Hash of method, path and body. */
+    InstanceId entryInstance{}; /**< Instance that would run the call. */
 };
 
-/** Stores the answer of a call. @c begin is the command id of its BeginCall. */
+/** Stores the answer of a call. @c beginId is the command id of its BeginCall. */
 struct CompleteCall
 {
     CallKey call;
-    CommandId begin;
+    CommandId beginId;
     std::uint16_t status = 0;
     std::string contentType;
-    std::string answer; /**< Longer than maximumAnswer: not stored, a resend gets "unknown". */
+    std::string responseBody; /**< Longer than ControlLimits::maximumResponseBytes: not stored, a resend gets "unknown". */
 };
 
 /** The call did not run: no byte of it was sent. It may be begun again. */
 struct AbandonCall
 {
     CallKey call;
-    CommandId begin;
+    CommandId beginId;
 };
 
 using CommandBody = std::variant<ApplyBundle,
@@ -172,9 +172,9 @@
     Invalid,
     IdReused, /**< Another kind of command had the same id. */
     RunCall,
-    StoredAnswer,
+    StoredResponse,
     CallInProgress,
-    CallUnknown,
+    CallOutcomeUnknown,
     CallConflict, /**< The same key came with another request. */
     TooManyCalls, /**< No place for another record; not run. */
 };
@@ -182,9 +182,9 @@
 struct CommandResult
 {
     CommandOutcome outcome = CommandOutcome::Accepted;
-    std::string message; /**< Reason of a rejection; content type for StoredAnswer. */
-    std::uint64_t number = 0; /**< Assigned id or fencing number, version in force, or status of a StoredAnswer. */
-    std::string answer; /**< Only for StoredAnswer. */
+    std::string message; /**< Reason of a rejection; content type for StoredResponse. */
+    std::uint64_t number = 0; /**< Assigned id or fencing number, version in force, or status of a StoredResponse. */
+    std::string responseBody; /**< Only for StoredResponse. */
 
     friend bool operator==(const CommandResult &, const CommandResult &) = default;
 };
--- a/include/mimosahollow/control/failuredomain.h
+++ b/include/mimosahollow/control/failuredomain.h
@@ -12,7 +12,7 @@
     DomainId id{};
     std::string name;
     double share = 0; /**< Part of rates, bursts and budgets; the sum over all failure domains is at most 1. */
-    bool out = false; /**< Taken out of service by an operator. */
+    bool outOfService = false; /**< Taken out of service by an operator. */
 
     friend bool operator==(const FailureDomain &, const FailureDomain &) = default;
 };
--- a/include/mimosahollow/control/fleet.h
+++ b/include/mimosahollow/control/fleet.h
@@ -13,8 +13,8 @@
     std::string name;
     DomainId domain{};
     std::string address; /**< "IP:port" of its link listener. */
-    std::uint64_t process = 0; /**< Random start number; a resent registration of the same process gets the same id. */
-    Version since = 0; /**< Log index of the registration. */
+    std::uint64_t incarnation = 0; /**< Random start number; a resent registration of the same process gets the same id. */
+    Version registrationIndex = 0; /**< Log index of the registration. */
 
     friend bool operator==(const Instance &, const Instance &) = default;
 };
--- a/include/mimosahollow/control/increment.h
+++ b/include/mimosahollow/control/increment.h
@@ -44,14 +44,14 @@
 };
 
 enum class IncrementError : std::uint8_t {
-    WrongStart, /**< The configuration is not the one that the increment applies to. */
+    BaseMismatch, /**< The configuration is not the one that the increment applies to. */
 };
 
 /** What turns @p before into @p after. */
 [[nodiscard]] Increment difference(const Configuration &before, const Configuration &after);
 
 /** @p first followed by @p second. */
-[[nodiscard]] Increment combined(Increment first, const Increment &second);
+[[nodiscard]] Increment composeIncrements(Increment first, const Increment &second);
 
 /** A new configuration that shares all unchanged adapters with @p before. */
 [[nodiscard]] std::variant<std::shared_ptr<const Configuration>, IncrementError> applyIncrement(const Configuration &before, const Increment &increment);
--- a/include/mimosahollow/control/signedbundle.h
+++ b/include/mimosahollow/control/signedbundle.h
@@ -34,7 +34,7 @@
 struct SignedBundle
 {
     Version version = 0; /**< Of the bundle; the one in its text must be the same. */
-    Version expected = 0; /**< Version in force that it was written against. */
+    Version expectedVersion = 0; /**< Version in force that it was written against. */
     std::string text; /**< TOML. */
     Digest hash{}; /**< BLAKE2b of the text. */
     std::string author;
@@ -63,7 +63,7 @@
 [[nodiscard]] Digest bundleHash(std::string_view text);
 
 /** Packs and signs @p text as its author. */
-[[nodiscard]] SignedBundle signBundle(std::string text, Version version, Version expected, std::string author, const SecretKey &key);
+[[nodiscard]] SignedBundle signBundle(std::string text, Version version, Version expectedVersion, std::string author, const SecretKey &key);
 /** Adds the approver's signature, which covers the author's. */
 void approveBundle(SignedBundle &bundle, std::string approver, const SecretKey &key);
 
--- a/include/mimosahollow/control/snapshot.h
+++ b/include/mimosahollow/control/snapshot.h
@@ -9,12 +9,12 @@
 namespace mimosahollow::control {
 
 /** Raised when the layout changes in a way that older programs cannot read. */
-inline constexpr std::uint16_t snapshotFormat = 1;
+inline constexpr std::uint16_t snapshotFormatVersion = 1;
 
 enum class SnapshotErrorKind : std::uint8_t {
     NotASnapshot,
     UnknownFormat,
-    DamagedChecksum,
+    ChecksumMismatch,
     Malformed,
 };
 
--- a/src/admin/adminrequests.cpp
+++ b/src/admin/adminrequests.cpp
@@ -156,7 +156,7 @@
     }
     auto &checked = std::get<CheckedBundle>(read);
     control::ApplyBundle command;
-    command.expected = checked.bundle.expected;
+    command.expectedVersion = checked.bundle.expectedVersion;
     command.configuration = std::move(checked.configuration);
     command.author = checked.bundle.author;
     command.approver = checked.bundle.approver;
@@ -216,7 +216,7 @@
     }
     json::object result;
     result["version_in_force"] = inForce.version;
-    result["expected"] = checked.bundle.expected;
+    result["expected"] = checked.bundle.expectedVersion;
     result["version"] = checked.bundle.version;
     result["changes"] = std::move(changes);
     return json::serialize(result);
--- a/src/app/fleetstatus.cpp
+++ b/src/app/fleetstatus.cpp
@@ -44,7 +44,7 @@
 {
     json::array domains;
     for (const control::FailureDomain &domain : configuration.domains) {
-        domains.push_back(json::object{{"name", domain.name}, {"share", domain.share}, {"out", domain.out}});
+        domains.push_back(json::object{{"name", domain.name}, {"share", domain.share}, {"out", domain.outOfService}});
     }
     return domains;
 }
@@ -107,7 +107,7 @@
     const auto broken = control::firstBrokenRecord(log);
     json::object object;
     object["chain_intact"] = !broken.has_value();
-    object["dropped"] = log.dropped;
+    object["dropped"] = log.droppedRecords;
     object["records"] = std::move(records);
     return json::serialize(object) + "\n";
 }
--- a/src/control/audit.cpp
+++ b/src/control/audit.cpp
@@ -48,12 +48,12 @@
     return out ? " out" : " in";
 }
 
-struct Describer
+struct CommandDescriber
 {
     std::string operator()(const ApplyBundle &command) const
     {
         const Version version = command.configuration ? command.configuration->version : 0;
-        return "apply bundle " + std::to_string(version) + " over " + std::to_string(command.expected) + " by " + command.author + ", approved by "
+        return "apply bundle " + std::to_string(version) + " over " + std::to_string(command.expectedVersion) + " by " + command.author + ", approved by "
                + command.approver;
     }
     std::string operator()(const GrantKey &command) const
@@ -66,11 +66,11 @@
     }
     std::string operator()(const SetDomainOut &command) const
     {
-        return "failure domain " + command.domain + inOrOut(command.out);
+        return "failure domain " + command.domain + inOrOut(command.outOfService);
     }
     std::string operator()(const SetServerOut &command) const
     {
-        return "backend server " + command.server + inOrOut(command.out);
+        return "backend server " + command.server + inOrOut(command.outOfService);
     }
     std::string operator()(const PublishAdapter &command) const
     {
@@ -114,20 +114,20 @@
 
 void append(AuditLog &log, AuditRecord record, std::size_t maximumRecords)
 {
-    record.number = log.dropped + log.records.size() + 1;
-    record.hash = recordHash(log.records.empty() ? log.start : log.records.back().hash, record);
+    record.number = log.droppedRecords + log.records.size() + 1;
+    record.hash = recordHash(log.records.empty() ? log.precedingHash : log.records.back().hash, record);
     log.records.push_back(std::move(record));
     while (log.records.size() > maximumRecords) {
-        log.start = log.records.front().hash;
-        ++log.dropped;
+        log.precedingHash = log.records.front().hash;
+        ++log.droppedRecords;
         log.records.pop_front();
     }
 }
 
 std::optional<std::uint64_t> firstBrokenRecord(const AuditLog &log)
 {
-    Digest before = log.start;
-    std::uint64_t number = log.dropped;
+    Digest before = log.precedingHash;
+    std::uint64_t number = log.droppedRecords;
     for (const AuditRecord &record : log.records) {
         ++number;
         if (record.number != number || record.hash != recordHash(before, record)) {
@@ -140,7 +140,7 @@
 
 std::string describe(const CommandBody &body)
 {
-    return std::visit(Describer{}, body);
+    return std::visit(CommandDescriber{}, body);
 }
 
 } // namespace mimosahollow::control
--- a/src/control/bundleapply.cpp
+++ b/src/control/bundleapply.cpp
@@ -50,7 +50,7 @@
     std::map<OrganisationId, OrganisationId> organisations;
 
     template<typename Id>
-    static Id idFor(std::map<std::string, Id> &ids, const std::string &name)
+    static Id findOrAssignId(std::map<std::string, Id> &ids, const std::string &name)
     {
         return ids.try_emplace(name, static_cast<Id>(ids.size() + 1)).first->second;
     }
@@ -65,15 +65,15 @@
 
     void mergeDomains()
     {
-        state.bundleOutDomains.clear();
+        state.domainsOutByBundle.clear();
         for (FailureDomain domain : bundle.domains) {
-            const DomainId id = idFor(state.domainIds, domain.name);
+            const DomainId id = findOrAssignId(state.domainIds, domain.name);
             domains[domain.id] = id;
             domain.id = id;
-            if (domain.out) {
-                state.bundleOutDomains.insert(domain.name);
+            if (domain.outOfService) {
+                state.domainsOutByBundle.insert(domain.name);
             }
-            domain.out = domain.out || state.outDomains.contains(domain.name);
+            domain.outOfService = domain.outOfService || state.domainsOutByOperator.contains(domain.name);
             next.domains.push_back(std::move(domain));
         }
         sort(next.domains);
@@ -82,7 +82,7 @@
     void mergeOrganisations()
     {
         for (Organisation organisation : bundle.organisations) {
-            const OrganisationId id = idFor(state.organisationIds, organisation.name);
+            const OrganisationId id = findOrAssignId(state.organisationIds, organisation.name);
             organisations[organisation.id] = id;
             organisation.id = id;
             next.organisations.push_back(std::move(organisation));
@@ -114,13 +114,13 @@
             const auto found = organisations.find(key.organisation);
             if (found != organisations.end() && !state.withdrawnKeys.contains(key.hash)) {
                 key.organisation = found->second;
-                putElement(next.keys, key);
+                insertOrReplace(next.keys, key);
             }
         }
         for (const ApiKey &key : state.configuration.keys) {
             const bool kept = state.grantedKeys.contains(key.hash) && hasOrganisation(key.organisation) && findElement(next.keys, key.hash) == nullptr;
             if (kept) {
-                putElement(next.keys, key);
+                insertOrReplace(next.keys, key);
                 granted.insert(key.hash);
             }
         }
@@ -133,7 +133,7 @@
         std::set<AdapterId> declared;
         std::set<std::string> defaults;
         for (Adapter adapter : bundle.adapters) {
-            adapter.id = adapterId(state, adapterName(adapter));
+            adapter.id = findOrAssignAdapterId(state, adapterName(adapter));
             adapter.organisations = translated(adapter.organisations);
             declared.insert(adapter.id);
             if (adapter.isDefault) {
@@ -163,15 +163,15 @@
 
     void mergeServers()
     {
-        state.bundleOutServers.clear();
+        state.serversOutByBundle.clear();
         for (BackendServer server : bundle.servers) {
-            server.id = idFor(state.serverIds, server.name);
+            server.id = findOrAssignId(state.serverIds, server.name);
             const auto domain = domains.find(server.domain);
             server.domain = domain == domains.end() ? DomainId{} : domain->second;
-            if (server.out) {
-                state.bundleOutServers.insert(server.name);
+            if (server.outOfService) {
+                state.serversOutByBundle.insert(server.name);
             }
-            server.out = server.out || state.outServers.contains(server.name);
+            server.outOfService = server.outOfService || state.serversOutByOperator.contains(server.name);
             next.servers.push_back(std::move(server));
         }
         sort(next.servers);
@@ -186,18 +186,18 @@
                 continue;
             }
             const Pool *old = findElement(state.configuration.pools, id);
-            putElement(next.pools, old != nullptr ? *old : Pool{id, server.domain, server.kind, InstanceId{}, 0});
+            insertOrReplace(next.pools, old != nullptr ? *old : Pool{id, server.domain, server.kind, InstanceId{}, 0});
         }
         for (const FailureDomain &domain : next.domains) {
             const BucketOwner *old = findElement(state.configuration.bucketOwners, domain.id);
-            putElement(next.bucketOwners, old != nullptr ? *old : BucketOwner{domain.id, InstanceId{}, 0});
+            insertOrReplace(next.bucketOwners, old != nullptr ? *old : BucketOwner{domain.id, InstanceId{}, 0});
         }
     }
 
     void mergeRest()
     {
         next.version = bundle.version;
-        next.logIndex = state.applied;
+        next.logIndex = state.appliedIndex;
         next.baseModels = bundle.baseModels;
         next.loadRate = bundle.loadRate;
         next.loadsInFlight = bundle.loadsInFlight;
@@ -218,7 +218,7 @@
     }
     const Version wanted = command.configuration->version;
     const Version inForce = state.configuration.version;
-    if (command.expected != inForce || wanted <= inForce) {
+    if (command.expectedVersion != inForce || wanted <= inForce) {
         return conflict(state, wanted);
     }
     BundleMerge merge{state, *command.configuration, {}, {}, {}};
@@ -232,8 +232,8 @@
     Increment increment = difference(state.configuration, merge.next);
     state.configuration = std::move(merge.next);
     finishIncrement(state, std::move(increment));
-    state.bundles.push_back({wanted, state.applied, state.time, command.author, command.approver, command.hash});
-    while (state.bundles.size() > state.limits.bundles) {
+    state.bundles.push_back({wanted, state.appliedIndex, state.time, command.author, command.approver, command.hash});
+    while (state.bundles.size() > state.limits.maximumBundles) {
         state.bundles.pop_front();
     }
     return accepted(wanted);
--- a/src/control/bundledifference.cpp
+++ b/src/control/bundledifference.cpp
@@ -75,7 +75,7 @@
         elements["base model " + model] = {};
     }
     for (const FailureDomain &domain : configuration.domains) {
-        elements["failure domain " + domain.name] = {{"share", text(domain.share)}, {"out", text(domain.out)}};
+        elements["failure domain " + domain.name] = {{"share", text(domain.share)}, {"out", text(domain.outOfService)}};
     }
     for (const Organisation &organisation : configuration.organisations) {
         elements["organisation " + organisation.name] = {
@@ -102,7 +102,7 @@
     }
     for (const BackendServer &server : configuration.servers) {
         elements["backend server " + server.name] = {
-            {"domain", names.domain(server.domain)}, {"kind", server.kind}, {"address", server.address}, {"out", text(server.out)}};
+            {"domain", names.domain(server.domain)}, {"kind", server.kind}, {"address", server.address}, {"out", text(server.outOfService)}};
     }
     return elements;
 }
--- a/src/control/calls.cpp
+++ b/src/control/calls.cpp
@@ -5,50 +5,50 @@
 namespace {
 
 /** A call whose instance is gone, or that is past every deadline, may have run: nobody will report its answer. */
-void noticeLostCall(const ControlState &state, CallRecord &record)
+void markLostCall(const ControlState &state, CallRecord &record)
 {
-    const bool tooOld = state.time - record.started > state.limits.maximumDeadline;
-    if (record.state == CallState::InProgress && (tooOld || !isRegistered(state, record.entry))) {
-        record.state = CallState::Unknown;
+    const bool tooOld = state.time - record.startTime > state.limits.maximumCallDuration;
+    if (record.state == CallState::InProgress && (tooOld || !isRegistered(state, record.entryInstance))) {
+        record.state = CallState::OutcomeUnknown;
     }
 }
 
-CommandResult knownCall(const CommandId &id, const BeginCall &command, const CallRecord &record)
+CommandResult resultForRecord(const CommandId &id, const BeginCall &command, const CallRecord &record)
 {
-    if (record.request != command.request) {
+    if (record.requestHash != command.requestHash) {
         return failed(CommandOutcome::CallConflict, "the idempotency key was used with another request");
     }
     switch (record.state) {
-    case CallState::Answered:
-        return {CommandOutcome::StoredAnswer, record.contentType, record.status, record.answer};
-    case CallState::Unknown:
-        return failed(CommandOutcome::CallUnknown, "the call may have run");
+    case CallState::Completed:
+        return {CommandOutcome::StoredResponse, record.contentType, record.status, record.responseBody};
+    case CallState::OutcomeUnknown:
+        return failed(CommandOutcome::CallOutcomeUnknown, "the call may have run");
     case CallState::InProgress:
         break;
     }
     // The instance resends its own command after a lost answer; it has not started the call yet.
-    if (record.begin == id && record.entry == command.entry) {
+    if (record.beginId == id && record.entryInstance == command.entryInstance) {
         return {CommandOutcome::RunCall, {}, 0, {}};
     }
     return failed(CommandOutcome::CallInProgress, "the call is running");
 }
 
-void dropAnswer(ControlState &state, CallRecord &record)
+void discardResponse(ControlState &state, CallRecord &record)
 {
-    state.answerBytes -= record.answer.size();
-    record.answer = std::string();
+    state.responseBytes -= record.responseBody.size();
+    record.responseBody = std::string();
     record.contentType = std::string();
 }
 
-void limitAnswers(ControlState &state)
+void evictResponses(ControlState &state)
 {
-    while (state.answerBytes > state.limits.answers && !state.answerOrder.empty()) {
-        const auto [key, begin] = state.answerOrder.front();
-        state.answerOrder.pop_front();
+    while (state.responseBytes > state.limits.maximumTotalResponseBytes && !state.responseOrder.empty()) {
+        const auto [key, beginId] = state.responseOrder.front();
+        state.responseOrder.pop_front();
         const auto found = state.calls.find(key);
-        if (found != state.calls.end() && found->second.begin == begin) {
-            dropAnswer(state, found->second);
-            found->second.state = CallState::Unknown;
+        if (found != state.calls.end() && found->second.beginId == beginId) {
+            discardResponse(state, found->second);
+            found->second.state = CallState::OutcomeUnknown;
         }
     }
 }
@@ -58,14 +58,14 @@
 void expireCalls(ControlState &state)
 {
     while (!state.callOrder.empty()) {
-        const auto &[key, begin] = state.callOrder.front();
+        const auto &[key, beginId] = state.callOrder.front();
         const auto found = state.calls.find(key);
-        const bool present = found != state.calls.end() && found->second.begin == begin;
-        if (present && state.time - found->second.started < state.limits.callAge) {
+        const bool present = found != state.calls.end() && found->second.beginId == beginId;
+        if (present && state.time - found->second.startTime < state.limits.callRetention) {
             return;
         }
         if (present) {
-            dropAnswer(state, found->second);
+            discardResponse(state, found->second);
             state.calls.erase(found);
         }
         state.callOrder.pop_front();
@@ -76,20 +76,20 @@
 {
     const auto found = state.calls.find(command.call);
     if (found != state.calls.end()) {
-        noticeLostCall(state, found->second);
-        return knownCall(id, command, found->second);
+        markLostCall(state, found->second);
+        return resultForRecord(id, command, found->second);
     }
-    if (!isRegistered(state, command.entry)) {
+    if (!isRegistered(state, command.entryInstance)) {
         return failed(CommandOutcome::Invalid, "the instance is not registered");
     }
-    if (state.calls.size() >= state.limits.calls) {
+    if (state.calls.size() >= state.limits.maximumCalls) {
         return failed(CommandOutcome::TooManyCalls, "too many calls are on record");
     }
     CallRecord record;
-    record.begin = id;
-    record.request = command.request;
-    record.entry = command.entry;
-    record.started = state.time;
+    record.beginId = id;
+    record.requestHash = command.requestHash;
+    record.entryInstance = command.entryInstance;
+    record.startTime = state.time;
     state.calls.emplace(command.call, std::move(record));
     state.callOrder.emplace_back(command.call, id);
     return {CommandOutcome::RunCall, {}, 0, {}};
@@ -98,34 +98,34 @@
 CommandResult completeCall(ControlState &state, const CompleteCall &command)
 {
     const auto found = state.calls.find(command.call);
-    if (found == state.calls.end() || found->second.begin != command.begin) {
+    if (found == state.calls.end() || found->second.beginId != command.beginId) {
         return failed(CommandOutcome::NotFound, "no such call is on record");
     }
     CallRecord &record = found->second;
-    if (record.state == CallState::Answered) {
+    if (record.state == CallState::Completed) {
         return accepted();
     }
-    if (command.answer.size() > state.limits.answer) {
-        record.state = CallState::Unknown;
+    if (command.responseBody.size() > state.limits.maximumResponseBytes) {
+        record.state = CallState::OutcomeUnknown;
         return accepted();
     }
-    record.state = CallState::Answered;
+    record.state = CallState::Completed;
     record.status = command.status;
     record.contentType = command.contentType;
-    record.answer = command.answer;
-    state.answerBytes += record.answer.size();
-    state.answerOrder.emplace_back(command.call, command.begin);
-    limitAnswers(state);
+    record.responseBody = command.responseBody;
+    state.responseBytes += record.responseBody.size();
+    state.responseOrder.emplace_back(command.call, command.beginId);
+    evictResponses(state);
     return accepted();
 }
 
 CommandResult abandonCall(ControlState &state, const AbandonCall &command)
 {
     const auto found = state.calls.find(command.call);
-    if (found == state.calls.end() || found->second.begin != command.begin) {
+    if (found == state.calls.end() || found->second.beginId != command.beginId) {
         return failed(CommandOutcome::NotFound, "no such call is on record");
     }
-    if (found->second.state == CallState::Answered) {
+    if (found->second.state == CallState::Completed) {
         return failed(CommandOutcome::Invalid, "the call has an answer");
     }
     state.calls.erase(found);
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -22,11 +22,11 @@
     return adapter.baseModel + ":" + adapter.name + "@" + adapter.version;
 }
 
-AdapterId adapterId(ControlState &state, const std::string &name)
+AdapterId findOrAssignAdapterId(ControlState &state, const std::string &name)
 {
     const auto [place, isNew] = state.adapterIds.try_emplace(name, AdapterId{});
     if (isNew) {
-        place->second = static_cast<AdapterId>(++state.lastAdapter);
+        place->second = static_cast<AdapterId>(++state.lastAdapterId);
     }
     return place->second;
 }
@@ -43,7 +43,7 @@
 {
     Increment increment;
     increment.from = state.configuration.logIndex;
-    increment.to = state.applied;
+    increment.to = state.appliedIndex;
     increment.version = state.configuration.version;
     increment.loadRate = state.configuration.loadRate;
     increment.loadsInFlight = state.configuration.loadsInFlight;
@@ -52,9 +52,9 @@
 
 void finishIncrement(ControlState &state, Increment increment)
 {
-    state.configuration.logIndex = state.applied;
+    state.configuration.logIndex = state.appliedIndex;
     state.increments.push_back(std::move(increment));
-    while (state.increments.size() > state.limits.increments) {
+    while (state.increments.size() > state.limits.maximumIncrements) {
         state.increments.pop_front();
     }
 }
@@ -62,7 +62,7 @@
 namespace {
 
 template<typename Element>
-Element *findName(std::vector<Element> &list, const std::string &name)
+Element *findByName(std::vector<Element> &list, const std::string &name)
 {
     const auto found = std::find_if(list.begin(), list.end(), [&name](const Element &element) {
         return element.name == name;
@@ -77,7 +77,7 @@
 
 CommandResult grantKey(ControlState &state, const GrantKey &command)
 {
-    const Organisation *organisation = findName(state.configuration.organisations, command.organisation);
+    const Organisation *organisation = findByName(state.configuration.organisations, command.organisation);
     if (organisation == nullptr) {
         return notFound("organisation", command.organisation);
     }
@@ -85,11 +85,11 @@
         return failed(CommandOutcome::Invalid, "the key was withdrawn");
     }
     auto &keys = state.configuration.keys;
-    if (command.name.empty() || findName(keys, command.name) != nullptr || findElement(keys, command.hash) != nullptr) {
+    if (command.name.empty() || findByName(keys, command.name) != nullptr || findElement(keys, command.hash) != nullptr) {
         return failed(CommandOutcome::Invalid, "the name or the key is in use already");
     }
     const ApiKey key{command.name, command.hash, organisation->id};
-    putElement(keys, key);
+    insertOrReplace(keys, key);
     state.grantedKeys.insert(key.hash);
     Increment increment = startIncrement(state);
     increment.keys.changed.push_back(key);
@@ -117,23 +117,23 @@
     return accepted();
 }
 
-void mark(std::set<std::string> &marks, const std::string &name, bool out)
+void setOutOfService(std::set<std::string> &names, const std::string &name, bool outOfService)
 {
-    if (out) {
-        marks.insert(name);
+    if (outOfService) {
+        names.insert(name);
     } else {
-        marks.erase(name);
+        names.erase(name);
     }
 }
 
 CommandResult setDomainOut(ControlState &state, const SetDomainOut &command)
 {
-    FailureDomain *domain = findName(state.configuration.domains, command.domain);
+    FailureDomain *domain = findByName(state.configuration.domains, command.domain);
     if (domain == nullptr) {
         return notFound("failure domain", command.domain);
     }
-    mark(state.outDomains, command.domain, command.out);
-    domain->out = command.out || state.bundleOutDomains.contains(command.domain);
+    setOutOfService(state.domainsOutByOperator, command.domain, command.outOfService);
+    domain->outOfService = command.outOfService || state.domainsOutByBundle.contains(command.domain);
     Increment increment = startIncrement(state);
     increment.domains.changed.push_back(*domain);
     finishIncrement(state, std::move(increment));
@@ -142,12 +142,12 @@
 
 CommandResult setServerOut(ControlState &state, const SetServerOut &command)
 {
-    BackendServer *server = findName(state.configuration.servers, command.server);
+    BackendServer *server = findByName(state.configuration.servers, command.server);
     if (server == nullptr) {
         return notFound("backend server", command.server);
     }
-    mark(state.outServers, command.server, command.out);
-    server->out = command.out || state.bundleOutServers.contains(command.server);
+    setOutOfService(state.serversOutByOperator, command.server, command.outOfService);
+    server->outOfService = command.outOfService || state.serversOutByBundle.contains(command.server);
     Increment increment = startIncrement(state);
     increment.servers.changed.push_back(*server);
     finishIncrement(state, std::move(increment));
@@ -155,11 +155,11 @@
 }
 
 /** Puts @p adapter in force; @p increment tells followers. */
-void putChangedAdapter(ControlState &state, const Adapter &adapter, Increment &increment)
+void insertOrReplaceAdapter(ControlState &state, const Adapter &adapter, Increment &increment)
 {
     auto &list = state.configuration.adapters;
     increment.adapters.changed.push_back(adapter);
-    if (putAdapter(list, adapter)) {
+    if (appendOrReplaceAdapter(list, adapter)) {
         return;
     }
     // An adapter that was removed by a bundle comes back with its old number, in the middle of the list.
@@ -186,27 +186,27 @@
     }
     Adapter adapter{AdapterId{}, command.baseModel, command.name, command.version, command.isDefault, {}};
     for (const std::string &name : command.organisations) {
-        const Organisation *organisation = findName(state.configuration.organisations, name);
+        const Organisation *organisation = findByName(state.configuration.organisations, name);
         if (organisation == nullptr) {
             return notFound("organisation", name);
         }
         adapter.organisations.push_back(organisation->id);
     }
-    adapter.id = adapterId(state, adapterName(adapter));
+    adapter.id = findOrAssignAdapterId(state, adapterName(adapter));
     Increment increment = startIncrement(state);
     if (adapter.isDefault) {
-        std::vector<Adapter> earlier;
+        std::vector<Adapter> previousDefaults;
         for (const Adapter &other : state.configuration.adapters) {
             if (other.isDefault && other.id != adapter.id && other.baseModel == adapter.baseModel && other.name == adapter.name) {
-                earlier.push_back(other);
+                previousDefaults.push_back(other);
             }
         }
-        for (Adapter &other : earlier) {
+        for (Adapter &other : previousDefaults) {
             other.isDefault = false;
-            putChangedAdapter(state, other, increment);
+            insertOrReplaceAdapter(state, other, increment);
         }
     }
-    putChangedAdapter(state, adapter, increment);
+    insertOrReplaceAdapter(state, adapter, increment);
     state.publishedAdapters.insert(adapter.id);
     finishIncrement(state, std::move(increment));
     return accepted(number(adapter.id));
@@ -214,7 +214,7 @@
 
 CommandResult setRate(ControlState &state, const SetRate &command)
 {
-    Organisation *organisation = findName(state.configuration.organisations, command.organisation);
+    Organisation *organisation = findByName(state.configuration.organisations, command.organisation);
     if (organisation == nullptr) {
         return notFound("organisation", command.organisation);
     }
@@ -231,21 +231,22 @@
 
 CommandResult registerInstance(ControlState &state, const RegisterInstance &command)
 {
-    const FailureDomain *domain = findName(state.configuration.domains, command.domain);
+    const FailureDomain *domain = findByName(state.configuration.domains, command.domain);
     if (domain == nullptr) {
         return notFound("failure domain", command.domain);
     }
     Increment increment = startIncrement(state);
-    if (const Instance *old = findName(state.configuration.instances, command.name)) {
-        if (old->process == command.process && old->address == command.address && old->domain == domain->id) {
+    if (const Instance *old = findByName(state.configuration.instances, command.name)) {
+        if (old->incarnation == command.incarnation && old->address == command.address && old->domain == domain->id) {
             return accepted(number(old->id));
         }
         // A restarted process knows nothing of the calls and grants of the one before.
         increment.instances.removed.push_back(old->id);
         removeElement(state.configuration.instances, InstanceId(old->id));
     }
-    const Instance instance{static_cast<InstanceId>(++state.lastInstance), command.name, domain->id, command.address, command.process, state.applied};
-    putElement(state.configuration.instances, instance);
+    const Instance instance{
+        static_cast<InstanceId>(++state.lastInstanceId), command.name, domain->id, command.address, command.incarnation, state.appliedIndex};
+    insertOrReplace(state.configuration.instances, instance);
     increment.instances.changed.push_back(instance);
     finishIncrement(state, std::move(increment));
     return accepted(number(instance.id));
@@ -264,29 +265,29 @@
 }
 
 /** Common part of pools and bucket owners. */
-template<typename Lease, typename Changes>
-CommandResult assign(ControlState &state, Lease *lease, InstanceId owner, FencingNumber expected, Changes Increment::*changes)
+template<typename Assignment, typename Changes>
+CommandResult assign(ControlState &state, Assignment *assignment, InstanceId owner, FencingNumber expected, Changes Increment::*changes)
 {
-    if (lease == nullptr) {
+    if (assignment == nullptr) {
         return failed(CommandOutcome::NotFound, "there is no such pool or failure domain");
     }
     if (owner != InstanceId{} && !isRegistered(state, owner)) {
         return failed(CommandOutcome::NotFound, "the instance is not registered");
     }
-    if (lease->fencing != expected) {
-        return failed(CommandOutcome::VersionConflict, "the fencing number is another one", lease->fencing);
+    if (assignment->fencing != expected) {
+        return failed(CommandOutcome::VersionConflict, "the fencing number is another one", assignment->fencing);
     }
-    lease->owner = owner;
+    assignment->owner = owner;
     // The log index is unique and grows, and tells since when the assignment holds.
-    state.lastFencing = state.applied;
-    lease->fencing = state.lastFencing;
+    state.lastFencingNumber = state.appliedIndex;
+    assignment->fencing = state.lastFencingNumber;
     Increment increment = startIncrement(state);
-    (increment.*changes).changed.push_back(*lease);
+    (increment.*changes).changed.push_back(*assignment);
     finishIncrement(state, std::move(increment));
-    return accepted(state.lastFencing);
+    return accepted(state.lastFencingNumber);
 }
 
-CommandResult run(ControlState &state, const Command &command)
+CommandResult execute(ControlState &state, const Command &command)
 {
     return std::visit(
         [&state, &command](const auto &body) -> CommandResult {
@@ -310,9 +311,9 @@
             } else if constexpr (std::is_same_v<Body, RemoveInstance>) {
                 return removeInstance(state, body);
             } else if constexpr (std::is_same_v<Body, AssignPool>) {
-                return assign(state, findElement(state.configuration.pools, body.pool), body.owner, body.expected, &Increment::pools);
+                return assign(state, findElement(state.configuration.pools, body.pool), body.owner, body.expectedFencing, &Increment::pools);
             } else if constexpr (std::is_same_v<Body, AssignBucketOwner>) {
-                return assign(state, findElement(state.configuration.bucketOwners, body.domain), body.owner, body.expected, &Increment::bucketOwners);
+                return assign(state, findElement(state.configuration.bucketOwners, body.domain), body.owner, body.expectedFencing, &Increment::bucketOwners);
             } else if constexpr (std::is_same_v<Body, BeginCall>) {
                 return beginCall(state, command.id, body);
             } else if constexpr (std::is_same_v<Body, CompleteCall>) {
@@ -334,7 +335,7 @@
 {
     while (!state.resultOrder.empty()) {
         const auto found = state.results.find(state.resultOrder.front());
-        if (state.results.size() <= state.limits.results && state.time - found->second.time < state.limits.resultAge) {
+        if (state.results.size() <= state.limits.maximumResults && state.time - found->second.time < state.limits.resultRetention) {
             return;
         }
         state.results.erase(found);
@@ -346,31 +347,31 @@
 
 CommandResult apply(ControlState &state, LogIndex index, const Command &command)
 {
-    state.applied = index;
+    state.appliedIndex = index;
     state.time = std::max(state.time, command.time);
     expireCalls(state);
     expireResults(state);
     // The record of a call gives the answer to a resend; a table of results would double it.
     if (isOneOf<BeginCall, CompleteCall, AbandonCall>(command.body)) {
-        return run(state, command);
+        return execute(state, command);
     }
     const auto kind = static_cast<std::uint8_t>(command.body.index());
     if (const auto known = state.results.find(command.id); known != state.results.end()) {
         return known->second.kind == kind ? known->second.result : failed(CommandOutcome::IdReused, "the command id belongs to another command");
     }
-    CommandResult result = run(state, command);
+    CommandResult result = execute(state, command);
     state.results.emplace(command.id, StoredResult{state.time, kind, result});
     state.resultOrder.push_back(command.id);
     if (!isOneOf<RegisterInstance, AssignPool, AssignBucketOwner>(command.body)) {
         const std::string outcome = result.outcome == CommandOutcome::Accepted ? "accepted" : "rejected: " + result.message;
-        append(state.audit, {0, index, state.time, command.id, command.sender, describe(command.body), outcome, {}}, state.limits.auditRecords);
+        append(state.audit, {0, index, state.time, command.id, command.sender, describe(command.body), outcome, {}}, state.limits.maximumAuditRecords);
     }
     return result;
 }
 
-void skipTo(ControlState &state, LogIndex index)
+void skipEntry(ControlState &state, LogIndex index)
 {
-    state.applied = index;
+    state.appliedIndex = index;
 }
 
 } // namespace mimosahollow::control
--- a/src/control/commandsinternal.h
+++ b/src/control/commandsinternal.h
@@ -22,7 +22,7 @@
 
 [[nodiscard]] std::string adapterName(const Adapter &adapter);
 /** Number for @p name: the one that it had before, or a new one. */
-[[nodiscard]] AdapterId adapterId(ControlState &state, const std::string &name);
+[[nodiscard]] AdapterId findOrAssignAdapterId(ControlState &state, const std::string &name);
 
 [[nodiscard]] bool isRegistered(const ControlState &state, InstanceId instance);
 
--- a/src/control/distribution.cpp
+++ b/src/control/distribution.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::size_t elements(const Increment &increment)
+std::size_t elementCount(const Increment &increment)
 {
     return increment.keys.changed.size() + increment.keys.removed.size() + increment.adapters.changed.size() + increment.adapters.removed.size()
            + increment.servers.changed.size() + increment.servers.removed.size();
@@ -24,9 +24,9 @@
 std::optional<Increment> changesSince(const ControlState &state, Version since)
 {
     if (since == state.configuration.logIndex) {
-        Increment nothing = startIncrement(state);
-        nothing.to = since;
-        return nothing;
+        Increment empty = startIncrement(state);
+        empty.to = since;
+        return empty;
     }
     const auto first = std::find_if(state.increments.begin(), state.increments.end(), [since](const Increment &increment) {
         return increment.from == since;
@@ -36,10 +36,10 @@
     }
     Increment result = *first;
     for (auto next = std::next(first); next != state.increments.end(); ++next) {
-        if (elements(result) + elements(*next) > state.limits.incrementElements) {
+        if (elementCount(result) + elementCount(*next) > state.limits.maximumIncrementElements) {
             return std::nullopt;
         }
-        result = combined(std::move(result), *next);
+        result = composeIncrements(std::move(result), *next);
     }
     return result;
 }
--- a/src/control/elementkeys.h
+++ b/src/control/elementkeys.h
@@ -41,7 +41,7 @@
 }
 
 template<typename Element, typename Key>
-auto elementPlace(std::vector<Element> &list, const Key &key)
+auto findPosition(std::vector<Element> &list, const Key &key)
 {
     return std::lower_bound(list.begin(), list.end(), key, [](const Element &element, const Key &wanted) {
         return keyOf(element) < wanted;
@@ -52,44 +52,44 @@
 template<typename Element, typename Key>
 Element *findElement(std::vector<Element> &list, const Key &key)
 {
-    const auto place = elementPlace(list, key);
-    return place != list.end() && keyOf(*place) == key ? &*place : nullptr;
+    const auto position = findPosition(list, key);
+    return position != list.end() && keyOf(*position) == key ? &*position : nullptr;
 }
 
 template<typename Element>
-void putElement(std::vector<Element> &list, const Element &element)
+void insertOrReplace(std::vector<Element> &list, const Element &element)
 {
-    const auto place = elementPlace(list, keyOf(element));
-    if (place != list.end() && keyOf(*place) == keyOf(element)) {
-        *place = element;
+    const auto position = findPosition(list, keyOf(element));
+    if (position != list.end() && keyOf(*position) == keyOf(element)) {
+        *position = element;
     } else {
-        list.insert(place, element);
+        list.insert(position, element);
     }
 }
 
 template<typename Element, typename Key>
 void removeElement(std::vector<Element> &list, const Key &key)
 {
-    const auto place = elementPlace(list, key);
-    if (place != list.end() && keyOf(*place) == key) {
-        list.erase(place);
+    const auto position = findPosition(list, key);
+    if (position != list.end() && keyOf(*position) == key) {
+        list.erase(position);
     }
 }
 
 /** Changes or appends an adapter. Returns false when its place is in the middle of the list. */
-inline bool putAdapter(ChunkedList<Adapter> &list, const Adapter &adapter)
+inline bool appendOrReplaceAdapter(ChunkedList<Adapter> &list, const Adapter &adapter)
 {
     if (list.empty() || list.back().id < adapter.id) {
         list.push_back(adapter);
         return true;
     }
-    const auto place = std::lower_bound(list.begin(), list.end(), adapter.id, [](const Adapter &element, AdapterId id) {
+    const auto position = std::lower_bound(list.begin(), list.end(), adapter.id, [](const Adapter &element, AdapterId id) {
         return element.id < id;
     });
-    if (place->id != adapter.id) {
+    if (position->id != adapter.id) {
         return false;
     }
-    list.writable(static_cast<std::size_t>(place - list.begin())) = adapter;
+    list.mutableAt(static_cast<std::size_t>(position - list.begin())) = adapter;
     return true;
 }
 
--- a/src/control/increment.cpp
+++ b/src/control/increment.cpp
@@ -34,7 +34,7 @@
 }
 
 template<typename Element, typename Key>
-void combine(ElementChanges<Element, Key> &first, const ElementChanges<Element, Key> &second)
+void composeChanges(ElementChanges<Element, Key> &first, const ElementChanges<Element, Key> &second)
 {
     for (const Key &key : second.removed) {
         std::erase_if(first.changed, [&key](const Element &element) {
@@ -64,21 +64,21 @@
         removeElement(list, key);
     }
     for (const Element &element : changes.changed) {
-        putElement(list, element);
+        insertOrReplace(list, element);
     }
 }
 
 /** More changes than this in one increment cost less when the whole list is made anew. */
-constexpr std::size_t singleChanges = 64;
+constexpr std::size_t maximumInPlaceChanges = 64;
 
 void applyAdapterChanges(ChunkedList<Adapter> &list, const ElementChanges<Adapter, AdapterId> &changes)
 {
     if (changes.empty()) {
         return;
     }
-    if (changes.removed.empty() && changes.changed.size() <= singleChanges) {
+    if (changes.removed.empty() && changes.changed.size() <= maximumInPlaceChanges) {
         const bool put = std::all_of(changes.changed.begin(), changes.changed.end(), [&list](const Adapter &adapter) {
-            return putAdapter(list, adapter);
+            return appendOrReplaceAdapter(list, adapter);
         });
         if (put) {
             return;
@@ -93,7 +93,7 @@
     }
     ChunkedList<Adapter> next;
     auto change = changed.begin();
-    const auto putChange = [&next, &change] {
+    const auto appendChange = [&next, &change] {
         if (change->second != nullptr) {
             next.push_back(*change->second);
         }
@@ -101,16 +101,16 @@
     };
     for (const Adapter &adapter : list) {
         while (change != changed.end() && change->first < adapter.id) {
-            putChange();
+            appendChange();
         }
         if (change != changed.end() && change->first == adapter.id) {
-            putChange();
+            appendChange();
         } else {
             next.push_back(adapter);
         }
     }
     while (change != changed.end()) {
-        putChange();
+        appendChange();
     }
     list = std::move(next);
 }
@@ -142,7 +142,7 @@
     return increment;
 }
 
-Increment combined(Increment first, const Increment &second)
+Increment composeIncrements(Increment first, const Increment &second)
 {
     first.to = second.to;
     first.version = second.version;
@@ -154,21 +154,21 @@
     if (second.routes) {
         first.routes = second.routes;
     }
-    combine(first.domains, second.domains);
-    combine(first.organisations, second.organisations);
-    combine(first.keys, second.keys);
-    combine(first.adapters, second.adapters);
-    combine(first.servers, second.servers);
-    combine(first.pools, second.pools);
-    combine(first.bucketOwners, second.bucketOwners);
-    combine(first.instances, second.instances);
+    composeChanges(first.domains, second.domains);
+    composeChanges(first.organisations, second.organisations);
+    composeChanges(first.keys, second.keys);
+    composeChanges(first.adapters, second.adapters);
+    composeChanges(first.servers, second.servers);
+    composeChanges(first.pools, second.pools);
+    composeChanges(first.bucketOwners, second.bucketOwners);
+    composeChanges(first.instances, second.instances);
     return first;
 }
 
 std::variant<std::shared_ptr<const Configuration>, IncrementError> applyIncrement(const Configuration &before, const Increment &increment)
 {
     if (before.logIndex != increment.from) {
-        return IncrementError::WrongStart;
+        return IncrementError::BaseMismatch;
     }
     auto next = std::make_shared<Configuration>(before);
     next->logIndex = increment.to;
--- a/src/control/signedbundle.cpp
+++ b/src/control/signedbundle.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 // Each role signs its own text, so that one signature cannot stand in for the other.
-constexpr std::string_view authorPurpose = "mimosahollow bundle author 1";
-constexpr std::string_view approverPurpose = "mimosahollow bundle approver 1";
+constexpr std::string_view authorContext = "mimosahollow bundle author 1";
+constexpr std::string_view approverContext = "mimosahollow bundle approver 1";
 
 void addNumber(std::string &text, std::uint64_t number)
 {
@@ -34,22 +34,22 @@
     return {reinterpret_cast<const char *>(bytes.data()), bytes.size()};
 }
 
-std::string authorText(const SignedBundle &bundle)
+std::string authorSignedText(const SignedBundle &bundle)
 {
     std::string text;
-    addText(text, authorPurpose);
+    addText(text, authorContext);
     addNumber(text, bundle.version);
-    addNumber(text, bundle.expected);
+    addNumber(text, bundle.expectedVersion);
     addText(text, view(bundle.hash));
     addText(text, bundle.author);
     return text;
 }
 
-std::string approverText(const SignedBundle &bundle)
+std::string approverSignedText(const SignedBundle &bundle)
 {
     std::string text;
-    addText(text, approverPurpose);
-    addText(text, authorText(bundle));
+    addText(text, approverContext);
+    addText(text, authorSignedText(bundle));
     addText(text, view(bundle.authorSignature));
     addText(text, bundle.approver);
     return text;
@@ -151,7 +151,7 @@
     }
 };
 
-BundleError problem(BundleErrorKind kind, std::string message)
+BundleError makeError(BundleErrorKind kind, std::string message)
 {
     return {kind, std::move(message)};
 }
@@ -172,48 +172,48 @@
     return digest;
 }
 
-SignedBundle signBundle(std::string text, Version version, Version expected, std::string author, const SecretKey &key)
+SignedBundle signBundle(std::string text, Version version, Version expectedVersion, std::string author, const SecretKey &key)
 {
     SignedBundle bundle;
     bundle.version = version;
-    bundle.expected = expected;
+    bundle.expectedVersion = expectedVersion;
     bundle.text = std::move(text);
     bundle.hash = bundleHash(bundle.text);
     bundle.author = std::move(author);
-    bundle.authorSignature = sign(authorText(bundle), key);
+    bundle.authorSignature = sign(authorSignedText(bundle), key);
     return bundle;
 }
 
 void approveBundle(SignedBundle &bundle, std::string approver, const SecretKey &key)
 {
     bundle.approver = std::move(approver);
-    bundle.approverSignature = sign(approverText(bundle), key);
+    bundle.approverSignature = sign(approverSignedText(bundle), key);
 }
 
 std::optional<BundleError> verifyBundle(const SignedBundle &bundle, std::span<const Operator> operators)
 {
     if (bundleHash(bundle.text) != bundle.hash) {
-        return problem(BundleErrorKind::WrongHash, "the text of the bundle does not have the hash that was signed");
+        return makeError(BundleErrorKind::WrongHash, "the text of the bundle does not have the hash that was signed");
     }
     if (bundle.approver.empty()) {
-        return problem(BundleErrorKind::NotApproved, "a second operator must approve the bundle");
+        return makeError(BundleErrorKind::NotApproved, "a second operator must approve the bundle");
     }
     const Operator *author = findOperator(operators, bundle.author);
     const Operator *approver = findOperator(operators, bundle.approver);
     if (author == nullptr || approver == nullptr) {
-        return problem(BundleErrorKind::UnknownOperator, "\"" + (author == nullptr ? bundle.author : bundle.approver) + "\" is not an operator");
+        return makeError(BundleErrorKind::UnknownOperator, "\"" + (author == nullptr ? bundle.author : bundle.approver) + "\" is not an operator");
     }
     if (!author->author || !approver->approver) {
-        return problem(BundleErrorKind::WrongRole, !author->author ? author->name + " may not author bundles" : approver->name + " may not approve bundles");
+        return makeError(BundleErrorKind::WrongRole, !author->author ? author->name + " may not author bundles" : approver->name + " may not approve bundles");
     }
     if (author->name == approver->name || author->key == approver->key) {
-        return problem(BundleErrorKind::SameOperator, "author and approver must be two operators");
+        return makeError(BundleErrorKind::SameOperator, "author and approver must be two operators");
     }
-    if (!isSigned(authorText(bundle), bundle.authorSignature, author->key)) {
-        return problem(BundleErrorKind::WrongSignature, "the signature of the author is wrong");
+    if (!isSigned(authorSignedText(bundle), bundle.authorSignature, author->key)) {
+        return makeError(BundleErrorKind::WrongSignature, "the signature of the author is wrong");
     }
-    if (!isSigned(approverText(bundle), bundle.approverSignature, approver->key)) {
-        return problem(BundleErrorKind::WrongSignature, "the signature of the approver is wrong");
+    if (!isSigned(approverSignedText(bundle), bundle.approverSignature, approver->key)) {
+        return makeError(BundleErrorKind::WrongSignature, "the signature of the approver is wrong");
     }
     return std::nullopt;
 }
@@ -222,7 +222,7 @@
 {
     return boost::json::serialize(boost::json::object{
         {"version", bundle.version},
-        {"expected", bundle.expected},
+        {"expected", bundle.expectedVersion},
         {"hash", hexadecimal(bundle.hash)},
         {"author", bundle.author},
         {"author_signature", hexadecimal(bundle.authorSignature)},
@@ -237,12 +237,12 @@
     boost::json::error_code code;
     const boost::json::value value = boost::json::parse(packed, code);
     if (code || !value.is_object()) {
-        return problem(BundleErrorKind::Malformed, "a packed bundle is a JSON object");
+        return makeError(BundleErrorKind::Malformed, "a packed bundle is a JSON object");
     }
     SignedBundle bundle;
     BundleReader reader{value.get_object(), std::nullopt};
     reader.read("version", bundle.version);
-    reader.read("expected", bundle.expected);
+    reader.read("expected", bundle.expectedVersion);
     reader.read("hash", bundle.hash);
     reader.read("author", bundle.author);
     reader.read("author_signature", bundle.authorSignature);
--- a/src/control/snapshot.cpp
+++ b/src/control/snapshot.cpp
@@ -18,7 +18,7 @@
 struct SnapshotHeader
 {
     std::uint64_t magic = snapshotMagic;
-    std::uint32_t format = snapshotFormat;
+    std::uint32_t format = snapshotFormatVersion;
     std::uint32_t reserved = 0;
     std::uint64_t checksum = 0; /**< XXH3 of the rest. */
 };
@@ -63,12 +63,20 @@
     const auto route = builder.CreateString(key.route);
     const auto name = builder.CreateString(key.key);
     const auto call = wire::CreateCallKey(builder, number(key.organisation), route, name);
-    const auto request = packBytes(builder, record.request);
+    const auto request = packBytes(builder, record.requestHash);
     const auto contentType = builder.CreateString(record.contentType);
-    const auto answer = builder.CreateString(record.answer);
-    const auto begin = packId(record.begin);
-    return wire::CreateCall(
-        builder, call, &begin, request, number(record.entry), record.started, static_cast<std::uint8_t>(record.state), record.status, contentType, answer);
+    const auto answer = builder.CreateString(record.responseBody);
+    const auto begin = packId(record.beginId);
+    return wire::CreateCall(builder,
+                            call,
+                            &begin,
+                            request,
+                            number(record.entryInstance),
+                            record.startTime,
+                            static_cast<std::uint8_t>(record.state),
+                            record.status,
+                            contentType,
+                            answer);
 }
 
 struct PackedCalls
@@ -80,22 +88,22 @@
 PackedCalls packCalls(Builder &builder, const ControlState &state)
 {
     std::vector<Offset<wire::Call>> calls;
-    std::map<CallKey, std::uint32_t> places;
+    std::map<CallKey, std::uint32_t> positions;
     const auto present = [&state](const auto &element) {
         const auto found = state.calls.find(element.first);
-        return found != state.calls.end() && found->second.begin == element.second ? &found->second : nullptr;
+        return found != state.calls.end() && found->second.beginId == element.second ? &found->second : nullptr;
     };
     for (const auto &element : state.callOrder) {
         if (const CallRecord *record = present(element)) {
-            places.emplace(element.first, static_cast<std::uint32_t>(calls.size()));
+            positions.emplace(element.first, static_cast<std::uint32_t>(calls.size()));
             calls.push_back(packCall(builder, element.first, *record));
         }
     }
     std::vector<std::uint32_t> answers;
-    for (const auto &element : state.answerOrder) {
+    for (const auto &element : state.responseOrder) {
         const CallRecord *record = present(element);
-        if (record != nullptr && record->state == CallState::Answered) {
-            answers.push_back(places.at(element.first));
+        if (record != nullptr && record->state == CallState::Completed) {
+            answers.push_back(positions.at(element.first));
         }
     }
     return {builder.CreateVector(calls), builder.CreateVector(answers)};
@@ -104,7 +112,7 @@
 Offset<wire::CommandResult> packResult(Builder &builder, const CommandResult &result)
 {
     const auto message = builder.CreateString(result.message);
-    const auto answer = builder.CreateString(result.answer);
+    const auto answer = builder.CreateString(result.responseBody);
     return wire::CreateCommandResult(builder, static_cast<std::uint8_t>(result.outcome), message, result.number, answer);
 }
 
@@ -134,10 +142,10 @@
 {
     const auto configuration = packConfiguration(builder, state.configuration);
     const auto bundles = packBundles(builder, state.bundles);
-    const auto outDomains = packTexts(builder, state.outDomains);
-    const auto outServers = packTexts(builder, state.outServers);
-    const auto bundleOutDomains = packTexts(builder, state.bundleOutDomains);
-    const auto bundleOutServers = packTexts(builder, state.bundleOutServers);
+    const auto domainsOutByOperator = packTexts(builder, state.domainsOutByOperator);
+    const auto serversOutByOperator = packTexts(builder, state.serversOutByOperator);
+    const auto domainsOutByBundle = packTexts(builder, state.domainsOutByBundle);
+    const auto serversOutByBundle = packTexts(builder, state.serversOutByBundle);
     const auto grantedKeys = packHashes(builder, state.grantedKeys);
     const auto withdrawnKeys = packHashes(builder, state.withdrawnKeys);
     const auto publishedAdapters = packIds(builder, state.publishedAdapters);
@@ -152,17 +160,17 @@
     });
     const PackedCalls calls = packCalls(builder, state);
     const auto results = packResults(builder, state);
-    const auto auditStart = packBytes(builder, state.audit.start);
+    const auto auditStart = packBytes(builder, state.audit.precedingHash);
     const auto audit = packAudit(builder, state.audit);
     wire::StateBuilder table(builder);
-    table.add_applied(state.applied);
+    table.add_applied(state.appliedIndex);
     table.add_time(state.time);
     table.add_configuration(configuration);
     table.add_bundles(bundles);
-    table.add_out_domains(outDomains);
-    table.add_out_servers(outServers);
-    table.add_bundle_out_domains(bundleOutDomains);
-    table.add_bundle_out_servers(bundleOutServers);
+    table.add_out_domains(domainsOutByOperator);
+    table.add_out_servers(serversOutByOperator);
+    table.add_bundle_out_domains(domainsOutByBundle);
+    table.add_bundle_out_servers(serversOutByBundle);
     table.add_granted_keys(grantedKeys);
     table.add_withdrawn_keys(withdrawnKeys);
     table.add_published_adapters(publishedAdapters);
@@ -171,14 +179,14 @@
     table.add_server_ids(serverIds);
     table.add_adapter_ids(adapterIds);
     table.add_pool_ids(poolIds);
-    table.add_last_instance(state.lastInstance);
-    table.add_last_adapter(state.lastAdapter);
-    table.add_last_fencing(state.lastFencing);
+    table.add_last_instance(state.lastInstanceId);
+    table.add_last_adapter(state.lastAdapterId);
+    table.add_last_fencing(state.lastFencingNumber);
     table.add_calls(calls.calls);
     table.add_answers(calls.answers);
     table.add_results(results);
     table.add_audit_start(auditStart);
-    table.add_audit_dropped(state.audit.dropped);
+    table.add_audit_dropped(state.audit.droppedRecords);
     table.add_audit(audit);
     return table.Finish();
 }
@@ -210,16 +218,16 @@
 {
     const CallKey key{static_cast<OrganisationId>(table.call()->organisation()), reader.text(table.call()->route()), reader.text(table.call()->key())};
     CallRecord record;
-    record.begin = unpackId(*table.begin());
-    reader.bytes(table.request(), record.request);
-    record.entry = static_cast<InstanceId>(table.entry());
-    record.started = table.started();
-    record.state = reader.enumerator(table.state(), CallState::Unknown);
+    record.beginId = unpackId(*table.begin());
+    reader.bytes(table.request(), record.requestHash);
+    record.entryInstance = static_cast<InstanceId>(table.entry());
+    record.startTime = table.started();
+    record.state = reader.enumerator(table.state(), CallState::OutcomeUnknown);
     record.status = table.status();
     record.contentType = reader.text(table.content_type());
-    record.answer = reader.text(table.answer());
-    state.answerBytes += record.answer.size();
-    state.callOrder.emplace_back(key, record.begin);
+    record.responseBody = reader.text(table.answer());
+    state.responseBytes += record.responseBody.size();
+    state.callOrder.emplace_back(key, record.beginId);
     state.calls.emplace(key, std::move(record));
 }
 
@@ -230,12 +238,12 @@
     });
     reader.failed = reader.failed || state.calls.size() != state.callOrder.size();
     if (table.answers() != nullptr) {
-        for (const std::uint32_t place : *table.answers()) {
-            if (place >= state.callOrder.size()) {
+        for (const std::uint32_t position : *table.answers()) {
+            if (position >= state.callOrder.size()) {
                 reader.failed = true;
                 return;
             }
-            state.answerOrder.push_back(state.callOrder[place]);
+            state.responseOrder.push_back(state.callOrder[position]);
         }
     }
     reader.forEach(table.results(), [&](const wire::Result &stored) {
@@ -247,8 +255,8 @@
         state.results.emplace(id, StoredResult{stored.time(), stored.kind(), std::move(value)});
     });
     reader.failed = reader.failed || state.results.size() != state.resultOrder.size();
-    reader.bytes(table.audit_start(), state.audit.start);
-    state.audit.dropped = table.audit_dropped();
+    reader.bytes(table.audit_start(), state.audit.precedingHash);
+    state.audit.droppedRecords = table.audit_dropped();
     reader.forEach(table.audit(), [&](const wire::AuditRecord &from) {
         AuditRecord record{from.number(),
                            from.log_index(),
@@ -265,7 +273,7 @@
 
 void unpackState(WireReader &reader, const wire::State &table, ControlState &state)
 {
-    state.applied = table.applied();
+    state.appliedIndex = table.applied();
     state.time = table.time();
     state.configuration = unpackConfiguration(reader, *table.configuration());
     reader.forEach(table.bundles(), [&](const wire::Bundle &from) {
@@ -273,10 +281,10 @@
         reader.bytes(from.hash(), record.hash);
         state.bundles.push_back(std::move(record));
     });
-    state.outDomains = unpackNames(table.out_domains());
-    state.outServers = unpackNames(table.out_servers());
-    state.bundleOutDomains = unpackNames(table.bundle_out_domains());
-    state.bundleOutServers = unpackNames(table.bundle_out_servers());
+    state.domainsOutByOperator = unpackNames(table.out_domains());
+    state.serversOutByOperator = unpackNames(table.out_servers());
+    state.domainsOutByBundle = unpackNames(table.bundle_out_domains());
+    state.serversOutByBundle = unpackNames(table.bundle_out_servers());
     unpackHashes(reader, table.granted_keys(), state.grantedKeys);
     unpackHashes(reader, table.withdrawn_keys(), state.withdrawnKeys);
     const auto published = reader.ids<AdapterId>(table.published_adapters());
@@ -288,9 +296,9 @@
     reader.forEach(table.pool_ids(), [&](const wire::PoolName &from) {
         state.poolIds.emplace(std::pair(static_cast<DomainId>(from.domain()), reader.text(from.kind())), static_cast<PoolId>(from.id()));
     });
-    state.lastInstance = table.last_instance();
-    state.lastAdapter = table.last_adapter();
-    state.lastFencing = table.last_fencing();
+    state.lastInstanceId = table.last_instance();
+    state.lastAdapterId = table.last_adapter();
+    state.lastFencingNumber = table.last_fencing();
     unpackHistory(reader, table, state);
 }
 
@@ -323,13 +331,13 @@
     if (header.magic != snapshotMagic) {
         return SnapshotError{SnapshotErrorKind::NotASnapshot, "the data does not start as a snapshot"};
     }
-    if (header.format != snapshotFormat) {
+    if (header.format != snapshotFormatVersion) {
         return SnapshotError{SnapshotErrorKind::UnknownFormat,
-                             "the snapshot has format " + std::to_string(header.format) + "; this program knows " + std::to_string(snapshotFormat)};
+                             "the snapshot has format " + std::to_string(header.format) + "; this program knows " + std::to_string(snapshotFormatVersion)};
     }
     const auto content = bytes.subspan(sizeof(header));
     if (header.reserved != 0 || XXH3_64bits(content.data(), content.size()) != header.checksum) {
-        return SnapshotError{SnapshotErrorKind::DamagedChecksum, "the snapshot fails its checksum"};
+        return SnapshotError{SnapshotErrorKind::ChecksumMismatch, "the snapshot fails its checksum"};
     }
     Bytes copy;
     const auto *table = verifiedRoot<wire::State>(content, copy, maximumTables);
--- a/src/control/wire.cpp
+++ b/src/control/wire.cpp
@@ -24,7 +24,7 @@
 
 Offset<wire::Domain> pack(Builder &builder, const FailureDomain &domain)
 {
-    return wire::CreateDomain(builder, number(domain.id), builder.CreateString(domain.name), domain.share, domain.out);
+    return wire::CreateDomain(builder, number(domain.id), builder.CreateString(domain.name), domain.share, domain.outOfService);
 }
 
 Offset<wire::Organisation> pack(Builder &builder, const Organisation &organisation)
@@ -53,14 +53,14 @@
     const auto name = builder.CreateString(server.name);
     const auto kind = builder.CreateString(server.kind);
     const auto address = builder.CreateString(server.address);
-    return wire::CreateServer(builder, number(server.id), name, number(server.domain), kind, address, server.out);
+    return wire::CreateServer(builder, number(server.id), name, number(server.domain), kind, address, server.outOfService);
 }
 
 Offset<wire::Instance> pack(Builder &builder, const Instance &instance)
 {
     const auto name = builder.CreateString(instance.name);
     const auto address = builder.CreateString(instance.address);
-    return wire::CreateInstance(builder, number(instance.id), name, number(instance.domain), address, instance.process, instance.since);
+    return wire::CreateInstance(builder, number(instance.id), name, number(instance.domain), address, instance.incarnation, instance.registrationIndex);
 }
 
 Offset<wire::Pool> pack(Builder &builder, const Pool &pool)
--- a/src/coordination/coordination.cpp
+++ b/src/coordination/coordination.cpp
@@ -64,13 +64,13 @@
             return "the stored snapshot cannot be read: " + error->message;
         }
         voter.control = std::get<control::ControlState>(std::move(decoded));
-        voter.snapshotIndex = voter.control.applied;
+        voter.snapshotIndex = voter.control.appliedIndex;
     }
     state.voter.emplace(std::move(voter));
     const control::VoterId self = voterId(state, options.name);
     state.voter->consensus = control::makeConsensus(self, {}, std::move(durable), initialMembers(options), options.seed, now);
     state.configuration = control::sharedConfiguration(state.voter->control);
-    state.renewal.applied = state.voter->control.applied;
+    state.renewal.applied = state.voter->control.appliedIndex;
     return state;
 }
 
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -75,7 +75,7 @@
     VoterState &voter = *state.voter;
     const auto registered = registeredInstances(voter.control.configuration);
     const auto assignments = poolAssignments(voter.control.configuration);
-    voter.leader = membership::makeLeaderState(term, state.options.times, voter.control.applied, registered, assignments, now);
+    voter.leader = membership::makeLeaderState(term, state.options.times, voter.control.appliedIndex, registered, assignments, now);
     voter.pendingAssignments.clear();
     state.view.leader = state.options.name;
     actions.push_back(Notice{"became leader of the replicated log in term " + std::to_string(term)});
--- a/src/coordination/leases.cpp
+++ b/src/coordination/leases.cpp
@@ -51,7 +51,7 @@
     std::vector<membership::RegisteredInstance> registered;
     registered.reserve(configuration.instances.size());
     for (const control::Instance &instance : configuration.instances) {
-        registered.push_back({instance.id, instance.name, instance.domain, instance.process, instance.since, true});
+        registered.push_back({instance.id, instance.name, instance.domain, instance.incarnation, instance.registrationIndex, true});
     }
     return registered;
 }
--- a/src/coordination/upstream.cpp
+++ b/src/coordination/upstream.cpp
@@ -16,7 +16,7 @@
 {
     const auto &instances = configuration.instances;
     const auto found = std::find_if(instances.begin(), instances.end(), [&](const control::Instance &instance) {
-        return instance.name == state.options.name && instance.process == state.options.incarnation;
+        return instance.name == state.options.name && instance.incarnation == state.options.incarnation;
     });
     return found == instances.end() ? nullptr : &*found;
 }
--- a/src/coordination/voter.cpp
+++ b/src/coordination/voter.cpp
@@ -28,26 +28,26 @@
         }
         onCommandApplied(state, entry.index, entry.term, *command, result, now, actions);
     } else {
-        control::skipTo(voter.control, entry.index);
+        control::skipEntry(voter.control, entry.index);
     }
     const bool leads = voter.consensus.role == control::VoterRole::Leader && entry.term == voter.consensus.term;
     if (leads && !voter.leader) {
         becomeLeader(state, entry.term, now, actions);
     }
     if (!membership::append(state.feed, {entry.index, std::move(increment)})) {
-        membership::setSnapshot(state.feed, voter.control.applied, link::encode(voter.control.configuration));
+        membership::setSnapshot(state.feed, voter.control.appliedIndex, link::encode(voter.control.configuration));
     }
 }
 
 void takeSnapshot(CoordinationState &state, Actions &actions)
 {
     VoterState &voter = *state.voter;
-    if (voter.control.applied < voter.snapshotIndex + snapshotInterval) {
+    if (voter.control.appliedIndex < voter.snapshotIndex + snapshotInterval) {
         return;
     }
-    voter.snapshotIndex = voter.control.applied;
+    voter.snapshotIndex = voter.control.appliedIndex;
     auto data = std::make_shared<const control::Bytes>(control::encodeSnapshot(voter.control));
-    StoreSnapshot store{0, control::snapshotPoint(voter.consensus, voter.control.applied), std::move(data), false};
+    StoreSnapshot store{0, control::snapshotPoint(voter.consensus, voter.control.appliedIndex), std::move(data), false};
     actions.push_back(StorageOrder(std::move(store)));
 }
 
@@ -62,9 +62,9 @@
     VoterState &voter = *state.voter;
     voter.control = std::get<control::ControlState>(std::move(decoded));
     voter.snapshotIndex = snapshot.point.index;
-    membership::setSnapshot(state.feed, voter.control.applied, link::encode(voter.control.configuration));
+    membership::setSnapshot(state.feed, voter.control.appliedIndex, link::encode(voter.control.configuration));
     activateConfiguration(state, control::sharedConfiguration(voter.control), now, actions);
-    reportApplied(state, voter.control.applied, now, actions);
+    reportApplied(state, voter.control.appliedIndex, now, actions);
     actions.push_back(StorageOrder(StoreSnapshot{snapshot.write, snapshot.point, std::move(snapshot.data), true}));
 }
 
--- a/src/link/commandcodec.cpp
+++ b/src/link/commandcodec.cpp
@@ -43,7 +43,7 @@
         const auto configuration = body.configuration ? packConfiguration(builder, *body.configuration) : Offset<wire::Configuration>();
         const auto author = builder.CreateString(body.author);
         const auto approver = builder.CreateString(body.approver);
-        return wire::CreateApplyBundle(builder, body.expected, configuration, author, approver, packBytes(builder, body.hash)).Union();
+        return wire::CreateApplyBundle(builder, body.expectedVersion, configuration, author, approver, packBytes(builder, body.hash)).Union();
     }
     Offset<void> operator()(const GrantKey &body) const
     {
@@ -57,11 +57,11 @@
     }
     Offset<void> operator()(const SetDomainOut &body) const
     {
-        return wire::CreateSetDomainOut(builder, builder.CreateString(body.domain), body.out).Union();
+        return wire::CreateSetDomainOut(builder, builder.CreateString(body.domain), body.outOfService).Union();
     }
     Offset<void> operator()(const SetServerOut &body) const
     {
-        return wire::CreateSetServerOut(builder, builder.CreateString(body.server), body.out).Union();
+        return wire::CreateSetServerOut(builder, builder.CreateString(body.server), body.outOfService).Union();
     }
     Offset<void> operator()(const PublishAdapter &body) const
     {
@@ -80,7 +80,7 @@
         const auto name = builder.CreateString(body.name);
         const auto domain = builder.CreateString(body.domain);
         const auto address = builder.CreateString(body.address);
-        return wire::CreateRegisterInstance(builder, name, domain, address, body.process).Union();
+        return wire::CreateRegisterInstance(builder, name, domain, address, body.incarnation).Union();
     }
     Offset<void> operator()(const RemoveInstance &body) const
     {
@@ -88,29 +88,29 @@
     }
     Offset<void> operator()(const AssignPool &body) const
     {
-        return wire::CreateAssignPool(builder, number(body.pool), number(body.owner), body.expected).Union();
+        return wire::CreateAssignPool(builder, number(body.pool), number(body.owner), body.expectedFencing).Union();
     }
     Offset<void> operator()(const AssignBucketOwner &body) const
     {
-        return wire::CreateAssignBucketOwner(builder, number(body.domain), number(body.owner), body.expected).Union();
+        return wire::CreateAssignBucketOwner(builder, number(body.domain), number(body.owner), body.expectedFencing).Union();
     }
     Offset<void> operator()(const BeginCall &body) const
     {
         const auto call = packCallKey(builder, body.call);
-        return wire::CreateBeginCall(builder, call, packBytes(builder, body.request), number(body.entry)).Union();
+        return wire::CreateBeginCall(builder, call, packBytes(builder, body.requestHash), number(body.entryInstance)).Union();
     }
     Offset<void> operator()(const CompleteCall &body) const
     {
         const auto call = packCallKey(builder, body.call);
         const auto contentType = builder.CreateString(body.contentType);
-        const auto answer = builder.CreateString(body.answer);
-        const auto begin = packId(body.begin);
+        const auto answer = builder.CreateString(body.responseBody);
+        const auto begin = packId(body.beginId);
         return wire::CreateCompleteCall(builder, call, &begin, body.status, contentType, answer).Union();
     }
     Offset<void> operator()(const AbandonCall &body) const
     {
         const auto call = packCallKey(builder, body.call);
-        const auto begin = packId(body.begin);
+        const auto begin = packId(body.beginId);
         return wire::CreateAbandonCall(builder, call, &begin).Union();
     }
 };
@@ -118,7 +118,7 @@
 ApplyBundle unpackBundle(WireReader &reader, const wire::ApplyBundle &table)
 {
     ApplyBundle body;
-    body.expected = table.expected();
+    body.expectedVersion = table.expected();
     if (table.configuration() != nullptr) {
         body.configuration = std::make_shared<const Configuration>(unpackConfiguration(reader, *table.configuration()));
     }
@@ -167,7 +167,7 @@
     }
     case wire::CommandBody_BeginCall: {
         BeginCall body{unpackCallKey(*table.body_as_BeginCall()->call()), {}, static_cast<InstanceId>(table.body_as_BeginCall()->entry())};
-        reader.bytes(table.body_as_BeginCall()->request(), body.request);
+        reader.bytes(table.body_as_BeginCall()->request(), body.requestHash);
         return body;
     }
     case wire::CommandBody_CompleteCall: {
--- a/src/link/controlcodec.cpp
+++ b/src/link/controlcodec.cpp
@@ -176,7 +176,7 @@
 {
     Builder builder;
     const auto message = builder.CreateString(result.message);
-    const auto answer = builder.CreateString(result.answer);
+    const auto answer = builder.CreateString(result.responseBody);
     return finish(builder, wire::CreateCommandResult(builder, static_cast<std::uint8_t>(result.outcome), message, result.number, answer));
 }
 
--- a/src/serving/records.cpp
+++ b/src/serving/records.cpp
@@ -44,7 +44,7 @@
     case control::CommandOutcome::CallInProgress:
         refuse(RefusalReason::InProgress, CallOutcome::Unknown);
         return;
-    case control::CommandOutcome::CallUnknown:
+    case control::CommandOutcome::CallOutcomeUnknown:
         refuse(RefusalReason::BackendFailed, CallOutcome::Unknown);
         return;
     case control::CommandOutcome::CallConflict:
@@ -79,10 +79,10 @@
 {
     control::CompleteCall complete;
     complete.call = call.callKey;
-    complete.begin = call.begin;
+    complete.beginId = call.begin;
     complete.status = static_cast<std::uint16_t>(result.status);
     complete.contentType = result.answerContentType;
-    complete.answer = result.answerBody;
+    complete.responseBody = result.answerBody;
     actions.push_back(CommitCommand{call.request.id, {call.begin.high, call.begin.low + 1}, std::move(complete)});
 }
 
@@ -113,8 +113,8 @@
         reserveTokens(state, call, now, actions);
         return;
     }
-    if (result.result.outcome == control::CommandOutcome::StoredAnswer) {
-        gateway::StoredAnswer answer{static_cast<unsigned>(result.result.number), result.result.message, result.result.answer};
+    if (result.result.outcome == control::CommandOutcome::StoredResponse) {
+        gateway::StoredAnswer answer{static_cast<unsigned>(result.result.number), result.result.message, result.result.responseBody};
         actions.push_back(ReplyToCall{call.request.gatewayThread, {result.call, std::move(answer)}});
         finishCall(state, result.call, 0, now, actions);
         return;
--- a/src/serving/serving.cpp
+++ b/src/serving/serving.cpp
@@ -25,10 +25,10 @@
 {
     const control::FailureDomain *domain = findDomain(state.index, pool.domain);
     scheduling::PoolDeclaration declaration;
-    declaration.domain = domain == nullptr || domain->out ? scheduling::ServiceState::Out : scheduling::ServiceState::InService;
+    declaration.domain = domain == nullptr || domain->outOfService ? scheduling::ServiceState::Out : scheduling::ServiceState::InService;
     for (const control::BackendServer &server : state.index.configuration->servers) {
         if (server.domain == pool.domain && server.kind == pool.kind) {
-            declaration.servers.push_back({server.id, server.out ? scheduling::ServiceState::Out : scheduling::ServiceState::InService});
+            declaration.servers.push_back({server.id, server.outOfService ? scheduling::ServiceState::Out : scheduling::ServiceState::InService});
         }
     }
     return declaration;
@@ -64,7 +64,7 @@
         summary.owner = pool.owner;
         summary.kind = pool.kind;
         summary.distance = pool.domain == state.home ? localDistance : remoteDistance;
-        if (domain == nullptr || domain->out) {
+        if (domain == nullptr || domain->outOfService) {
             summary.inService = false; // the owner's next summary says when it is back
         }
         state.summaries.push_back(std::move(summary));
--- a/src/settings/bundle.cpp
+++ b/src/settings/bundle.cpp
@@ -173,7 +173,7 @@
         domain.id = static_cast<DomainId>(m_configuration.domains.size() + 1);
         domain.name = reader.text("name");
         domain.share = reader.number("share", 0, 1, 0);
-        domain.out = reader.flag("out");
+        domain.outOfService = reader.flag("out");
         addName(m_domains, domain.name, domain.id, reader);
         m_configuration.domains.push_back(std::move(domain));
     }
@@ -252,7 +252,7 @@
         server.domain = lookUp(m_domains, reader.text("domain"), reader, "domain");
         server.kind = reader.text("kind");
         server.address = reader.text("address");
-        server.out = reader.flag("out");
+        server.outOfService = reader.flag("out");
         if (!parseEndpoint(server.address)) {
             reader.report(reader.table.get("address"), "address", "must be an IP number and a port");
         }
--- a/tests/admin/requests.cpp
+++ b/tests/admin/requests.cpp
@@ -61,7 +61,7 @@
         REQUIRE(std::holds_alternative<control::CommandBody>(result));
         const auto &command = std::get<control::SetDomainOut>(std::get<control::CommandBody>(result));
         REQUIRE(command.domain == "b");
-        REQUIRE(command.out);
+        REQUIRE(command.outOfService);
     }
     SECTION("is refused when a field is missing or has another type")
     {
--- a/tests/control/cluster.cpp
+++ b/tests/control/cluster.cpp
@@ -256,7 +256,7 @@
         ControlState &state = simulation.leader()->state;
         for (const std::size_t number : operations) {
             const Operation &operation = simulation.operation(number);
-            REQUIRE(apply(state, state.applied + 1, operation.command) == operation.result);
+            REQUIRE(apply(state, state.appliedIndex + 1, operation.command) == operation.result);
         }
         REQUIRE(state.configuration.keys.size() == 500);
         REQUIRE_FALSE(firstBrokenRecord(state.audit));
--- a/tests/control/codec.cpp
+++ b/tests/control/codec.cpp
@@ -83,8 +83,8 @@
             REQUIRE(link::encode(decoded) == bytes);
         }
         const auto complete = std::get<Command>(link::decodeCommand(link::encode(allCommands()[12])));
-        REQUIRE(std::get<CompleteCall>(complete.body).answer == std::string("a\0b", 3));
-        REQUIRE(std::get<CompleteCall>(complete.body).begin == CommandId{1, 2});
+        REQUIRE(std::get<CompleteCall>(complete.body).responseBody == std::string("a\0b", 3));
+        REQUIRE(std::get<CompleteCall>(complete.body).beginId == CommandId{1, 2});
     }
     SECTION("consensus messages")
     {
@@ -116,7 +116,7 @@
     }
     SECTION("results")
     {
-        const CommandResult result{CommandOutcome::StoredAnswer, "text", 200, "answer"};
+        const CommandResult result{CommandOutcome::StoredResponse, "text", 200, "answer"};
         REQUIRE(std::get<CommandResult>(link::decodeCommandResult(link::encode(result))) == result);
     }
 }
--- a/tests/control/signedbundle.cpp
+++ b/tests/control/signedbundle.cpp
@@ -51,7 +51,7 @@
             changed.version = 3;
             REQUIRE(verifyBundle(changed, operators)->kind == BundleErrorKind::WrongSignature);
             changed = bundle;
-            changed.expected = 0;
+            changed.expectedVersion = 0;
             REQUIRE(verifyBundle(changed, operators)->kind == BundleErrorKind::WrongSignature);
             changed = bundle;
             changed.approverSignature = changed.authorSignature;
--- a/tests/control/simulation.cpp
+++ b/tests/control/simulation.cpp
@@ -265,7 +265,7 @@
         if (!isNew && place->second != value) {
             violation("entry " + std::to_string(entry.index) + " was committed twice with different content");
         }
-        if (entry.index != node.state.applied + 1) {
+        if (entry.index != node.state.appliedIndex + 1) {
             violation("entry " + std::to_string(entry.index) + " was applied out of order");
         }
         CommandResult result;
@@ -274,7 +274,7 @@
             m_firstIndex.try_emplace(command.id, entry.index);
             result = apply(node.state, entry.index, command);
         } else {
-            skipTo(node.state, entry.index);
+            skipEntry(node.state, entry.index);
         }
         constexpr LogIndex checkEvery = 7;
         if (entry.index % checkEvery == 0) {
@@ -285,10 +285,10 @@
         }
         finishProposals(node, entry.index, entry.term, result);
     }
-    if (node.state.applied >= node.snapshotAt + m_options.snapshotEvery) {
-        node.snapshotAt = node.state.applied;
-        node.orders.emplace_back(
-            storage::StoreSnapshot{0, snapshotPoint(node.consensus, node.state.applied), std::make_shared<const Bytes>(encodeSnapshot(node.state)), false});
+    if (node.state.appliedIndex >= node.snapshotAt + m_options.snapshotEvery) {
+        node.snapshotAt = node.state.appliedIndex;
+        node.orders.emplace_back(storage::StoreSnapshot{
+            0, snapshotPoint(node.consensus, node.state.appliedIndex), std::make_shared<const Bytes>(encodeSnapshot(node.state)), false});
     }
 }
 
@@ -454,7 +454,7 @@
                const bool isMember = std::any_of(first->consensus.members.begin(), first->consensus.members.end(), [&node](const Member &member) {
                    return member.id == node.id;
                });
-               return !node.running || !isMember || (node.state.applied == committed() && lastIndex(node.consensus) == committed());
+               return !node.running || !isMember || (node.state.appliedIndex == committed() && lastIndex(node.consensus) == committed());
            });
 }
 
@@ -497,7 +497,7 @@
                 results[command.id] = result;
             }
         } else {
-            skipTo(model, index);
+            skipEntry(model, index);
         }
         for (const Operation &operation : m_operations) {
             if (operation.isRead && operation.done && operation.index == index) {
--- a/tests/control/statemachine.cpp
+++ b/tests/control/statemachine.cpp
@@ -28,7 +28,7 @@
     /** Under the command id of the last run(). */
     CommandResult rerun(CommandBody body)
     {
-        return apply(state, state.applied + 1, {id, time, "operator", std::move(body)});
+        return apply(state, state.appliedIndex + 1, {id, time, "operator", std::move(body)});
     }
 };
 
@@ -126,15 +126,15 @@
         REQUIRE(machine.run(command(1, smallBundle(2))).outcome == CommandOutcome::Accepted);
         const Configuration &now = machine.state.configuration;
         REQUIRE(names(now.keys) == Names{"k2", "granted"});
-        REQUIRE(now.domains[1].out);
-        REQUIRE(now.servers[0].out);
+        REQUIRE(now.domains[1].outOfService);
+        REQUIRE(now.servers[0].outOfService);
         REQUIRE(now.adapters.size() == 2);
         REQUIRE(now.adapters[0].isDefault);
         REQUIRE_FALSE(now.adapters[1].isDefault);
         SECTION("and can be undone")
         {
             REQUIRE(machine.run(SetDomainOut{"b", false}).outcome == CommandOutcome::Accepted);
-            REQUIRE_FALSE(machine.state.configuration.domains[1].out);
+            REQUIRE_FALSE(machine.state.configuration.domains[1].outOfService);
         }
         SECTION("but a withdrawn key never comes back")
         {
@@ -144,10 +144,10 @@
     SECTION("a domain that the bundle takes out is not put in by undoing a mark")
     {
         Configuration next = smallBundle(2);
-        next.domains[0].out = true;
+        next.domains[0].outOfService = true;
         machine.run(command(1, next));
         machine.run(SetDomainOut{"a", false});
-        REQUIRE(machine.state.configuration.domains[0].out);
+        REQUIRE(machine.state.configuration.domains[0].outOfService);
     }
     SECTION("unknown names are rejected")
     {
@@ -181,7 +181,7 @@
     }
     SECTION("the table is bounded")
     {
-        machine.state.limits.results = 10;
+        machine.state.limits.maximumResults = 10;
         for (int i = 0; i < 100; ++i) {
             machine.run(SetRate{"one", 5, 5});
         }
@@ -201,14 +201,14 @@
     REQUIRE(machine.run(RegisterInstance{"i2", "nowhere", "", 1}).outcome == CommandOutcome::NotFound);
     // A fencing number is the log index of its assignment.
     const FencingNumber first = machine.run(AssignPool{PoolId{1}, InstanceId{1}, 0}).number;
-    REQUIRE(first == machine.state.applied);
+    REQUIRE(first == machine.state.appliedIndex);
     REQUIRE(machine.run(AssignPool{PoolId{1}, InstanceId{1}, 0}).outcome == CommandOutcome::VersionConflict);
     REQUIRE(machine.run(AssignPool{PoolId{1}, InstanceId{5}, first}).outcome == CommandOutcome::NotFound);
     const FencingNumber second = machine.run(AssignBucketOwner{DomainId{1}, InstanceId{1}, 0}).number;
-    REQUIRE(second == machine.state.applied);
+    REQUIRE(second == machine.state.appliedIndex);
     REQUIRE(second > first);
     const FencingNumber third = machine.run(AssignPool{PoolId{1}, InstanceId{}, first}).number;
-    REQUIRE(third == machine.state.applied);
+    REQUIRE(third == machine.state.appliedIndex);
     REQUIRE(third > second);
     REQUIRE(machine.state.configuration.pools[0].owner == InstanceId{});
     REQUIRE(machine.run(RegisterInstance{"i1", "a", "10.0.1.1:7000", 12}).number == 2);
@@ -239,47 +239,47 @@
         REQUIRE(machine.run(CompleteCall{call, {1, 1}, 200, "text/plain", "wrong"}).outcome == CommandOutcome::NotFound);
         REQUIRE(machine.run(CompleteCall{call, started, 201, "text/plain", "done"}).outcome == CommandOutcome::Accepted);
         const CommandResult stored = machine.run(resend);
-        REQUIRE(stored == CommandResult{CommandOutcome::StoredAnswer, "text/plain", 201, "done"});
+        REQUIRE(stored == CommandResult{CommandOutcome::StoredResponse, "text/plain", 201, "done"});
         REQUIRE(machine.run(AbandonCall{call, started}).outcome == CommandOutcome::Invalid);
         SECTION("is kept for a day")
         {
             machine.time += 24 * hour - second;
-            REQUIRE(machine.run(resend).outcome == CommandOutcome::StoredAnswer);
+            REQUIRE(machine.run(resend).outcome == CommandOutcome::StoredResponse);
             machine.time += 2 * second;
             REQUIRE(machine.run(resend).outcome == CommandOutcome::RunCall);
-            REQUIRE(machine.state.answerBytes == 0);
+            REQUIRE(machine.state.responseBytes == 0);
         }
         SECTION("gives way to newer ones and is unknown then")
         {
-            machine.state.limits.answers = 10;
+            machine.state.limits.maximumTotalResponseBytes = 10;
             machine.run(BeginCall{{OrganisationId{1}, "/ledger/", "new"}, Digest{1}, one});
             machine.run(CompleteCall{{OrganisationId{1}, "/ledger/", "new"}, machine.id, 200, "", "12345678"});
-            REQUIRE(machine.run(resend).outcome == CommandOutcome::CallUnknown);
-            REQUIRE(machine.state.answerBytes == 8);
+            REQUIRE(machine.run(resend).outcome == CommandOutcome::CallOutcomeUnknown);
+            REQUIRE(machine.state.responseBytes == 8);
         }
     }
     SECTION("an answer that is too long is unknown")
     {
         REQUIRE(machine.run(CompleteCall{call, started, 200, "", std::string(64 * 1024 + 1, 'x')}).outcome == CommandOutcome::Accepted);
-        REQUIRE(machine.run(resend).outcome == CommandOutcome::CallUnknown);
+        REQUIRE(machine.run(resend).outcome == CommandOutcome::CallOutcomeUnknown);
     }
     SECTION("the entry instance is removed")
     {
         machine.run(RemoveInstance{one});
-        REQUIRE(machine.run(resend).outcome == CommandOutcome::CallUnknown);
-        REQUIRE(machine.run(begin).outcome == CommandOutcome::CallUnknown);
+        REQUIRE(machine.run(resend).outcome == CommandOutcome::CallOutcomeUnknown);
+        REQUIRE(machine.run(begin).outcome == CommandOutcome::CallOutcomeUnknown);
     }
     SECTION("the entry instance restarts")
     {
         machine.run(RegisterInstance{"i1", "a", "x", 99});
-        REQUIRE(machine.run(resend).outcome == CommandOutcome::CallUnknown);
+        REQUIRE(machine.run(resend).outcome == CommandOutcome::CallOutcomeUnknown);
     }
     SECTION("the call is past every deadline")
     {
         machine.time += 600 * second;
         REQUIRE(machine.run(resend).outcome == CommandOutcome::CallInProgress);
         machine.time += second;
-        REQUIRE(machine.run(resend).outcome == CommandOutcome::CallUnknown);
+        REQUIRE(machine.run(resend).outcome == CommandOutcome::CallOutcomeUnknown);
     }
     SECTION("a call that did not run may be begun again")
     {
@@ -289,7 +289,7 @@
     }
     SECTION("a full table refuses instead of forgetting")
     {
-        machine.state.limits.calls = 2;
+        machine.state.limits.maximumCalls = 2;
         REQUIRE(machine.run(BeginCall{{OrganisationId{1}, "/ledger/", "more"}, Digest{1}, one}).outcome == CommandOutcome::TooManyCalls);
     }
     SECTION("a removed instance may not begin one")
@@ -302,14 +302,14 @@
 TEST_CASE("the audit log is a hash chain")
 {
     Machine machine;
-    machine.state.limits.auditRecords = 5;
+    machine.state.limits.maximumAuditRecords = 5;
     machine.run(command(0, smallBundle(1)));
     for (int i = 0; i < 9; ++i) {
         machine.run(SetRate{"one", 5, 5});
     }
     AuditLog log = machine.state.audit;
     REQUIRE(log.records.size() == 5);
-    REQUIRE(log.dropped == 5);
+    REQUIRE(log.droppedRecords == 5);
     REQUIRE_FALSE(firstBrokenRecord(log));
     log.records[2].sender = "someone else";
     REQUIRE(firstBrokenRecord(log) == 8);
--- a/tests/coordination/fleet.cpp
+++ b/tests/coordination/fleet.cpp
@@ -151,7 +151,7 @@
         fleet.run(recoveryTime);
         REQUIRE(freshInstances(fleet) == instanceCount);
         for (const auto &[name, node] : fleet.nodes()) {
-            REQUIRE(node.configuration->domains[1].out);
+            REQUIRE(node.configuration->domains[1].outOfService);
         }
 
         SECTION("and replies to a repeated command with the same result")
--- a/tests/serving/fleet.h
+++ b/tests/serving/fleet.h
@@ -350,7 +350,7 @@
         const auto commit = [this, instance, command] {
             CommitResult result{command.call, true, true, {}};
             const auto time = std::chrono::duration_cast<milliseconds>(now.time_since_epoch()).count();
-            result.result = apply(control, control.applied + 1, {command.id, time, "instance", command.body});
+            result.result = apply(control, control.appliedIndex + 1, {command.id, time, "instance", command.body});
             if (loseCommitAnswers) {
                 result = {command.call, false, true, {}};
             }
--- a/tests/serving/owners.cpp
+++ b/tests/serving/owners.cpp
@@ -89,7 +89,7 @@
     {
         ServingState &owner = fleet.states[0];
         fleet.holdOrders = true;
-        fleet.configuration.servers[2].out = true; // the call cannot go to the other failure domain
+        fleet.configuration.servers[2].outOfService = true; // the call cannot go to the other failure domain
         fleet.configure();
         const RequestId id = fleet.model(0, "base:greeting@2", 1, "greeting@2");
         const auto stepUntilOrders = [&](std::size_t count) {
--- a/tests/serving/randomrun.cpp
+++ b/tests/serving/randomrun.cpp
@@ -74,11 +74,11 @@
 {
     switch (random.below(6)) {
     case 0:
-        fleet.configuration.domains[random.below(2)].out = random.below(4) == 0;
+        fleet.configuration.domains[random.below(2)].outOfService = random.below(4) == 0;
         fleet.configure();
         break;
     case 1:
-        fleet.configuration.servers[random.below(4)].out = random.below(4) == 0;
+        fleet.configuration.servers[random.below(4)].outOfService = random.below(4) == 0;
         fleet.configure();
         break;
     case 2: {
@@ -123,10 +123,10 @@
         }
     }
     for (control::FailureDomain &domain : fleet.configuration.domains) {
-        domain.out = false;
+        domain.outOfService = false;
     }
     for (control::BackendServer &server : fleet.configuration.servers) {
-        server.out = false;
+        server.outOfService = false;
     }
     fleet.unleased.clear();
     fleet.loseCommitAnswers = false;
--- a/tests/serving/rules.cpp
+++ b/tests/serving/rules.cpp
@@ -81,9 +81,9 @@
 
     const bool wholeDomain = GENERATE(true, false);
     if (wholeDomain) {
-        fleet.configuration.domains[0].out = true;
+        fleet.configuration.domains[0].outOfService = true;
     } else {
-        fleet.configuration.servers[1].out = true;
+        fleet.configuration.servers[1].outOfService = true;
     }
     fleet.configure();
     fleet.advance(milliseconds(500));
@@ -149,8 +149,8 @@
     {
         const RequestId id = fleet.plain(0, "/open/x", std::nullopt);
         fleet.advance(milliseconds(100));
-        fleet.configuration.domains[0].out = true;
-        fleet.configuration.domains[1].out = true;
+        fleet.configuration.domains[0].outOfService = true;
+        fleet.configuration.domains[1].outOfService = true;
         fleet.configure();
         fleet.finish(id, Outcome::FailedBeforeAnswer);
         fleet.advance(seconds(21));
