--- a/include/mimosahollow/control/adapter.h
+++ b/include/mimosahollow/control/adapter.h
@@ -7,15 +7,15 @@
 
 namespace mimosahollow::control {
 
-/** One LoRA adapter at one version. */
+/** One version of a LoRA adapter. */
 struct Adapter
 {
     AdapterId id{};
     std::string baseModel;
     std::string name;
     std::string version;
-    bool isDefault = false; /**< Used when a request names no version. */
-    std::vector<OrganisationId> organisations; /**< Who may use it. */
+    bool isDefault = false; /**< The version that serves requests without an explicit version. */
+    std::vector<OrganisationId> organisations; /**< Organisations that are authorised to use the adapter. */
 
     friend bool operator==(const Adapter &, const Adapter &) = default;
 };
--- a/include/mimosahollow/control/apikey.h
+++ b/include/mimosahollow/control/apikey.h
@@ -7,10 +7,10 @@
 
 namespace mimosahollow::control {
 
-/** A key that callers of one organisation may show. A withdrawn key is absent from the configuration. */
+/** An API key of one organisation. Withdrawn keys are not part of the configuration. */
 struct ApiKey
 {
-    std::string name; /**< For operators and logs; not secret. */
+    std::string name; /**< Identifies the key to operators and in logs; not secret. */
     KeyHash hash{};
     OrganisationId organisation{};
 
--- a/include/mimosahollow/control/audit.h
+++ b/include/mimosahollow/control/audit.h
@@ -7,35 +7,36 @@
 
 namespace mimosahollow::control {
 
-/** One operator command in the audit log. */
+/** Audit log entry for one operator command. */
 struct AuditRecord
 {
-    std::uint64_t number = 0; /**< From 1, without gaps. */
+    std::uint64_t number = 0; /**< Consecutive, starting at 1. */
     Version logIndex = 0;
-    std::int64_t time = 0; /**< Milliseconds since 1970. */
+    std::int64_t time = 0; /**< Log time at which the command was applied, milliseconds since 1970. */
     CommandId id;
     std::string sender;
-    std::string action; /**< What was asked. */
-    std::string result;
-    Digest hash{}; /**< Over the hash of the record before and all other fields. */
+    std::string action; /**< Description of the command, see describe(). */
+    std::string result; /**< "accepted", or "rejected: " and the reason. */
+    Digest hash{}; /**< Covers the hash of the previous record and all other fields of this one. */
 
     friend bool operator==(const AuditRecord &, const AuditRecord &) = default;
 };
 
-/** Newest part of the audit log and the hash that it continues from. */
+/** The newest audit records, and the hash of the last record before them. */
 struct AuditLog
 {
-    Digest precedingHash{}; /**< Hash of the last record that was dropped; zero at the beginning. */
-    std::uint64_t droppedRecords = 0;
+    Digest precedingHash{}; /**< Hash of the last dropped record; all zeros when none was dropped. */
+    std::uint64_t droppedRecords = 0; /**< Records removed from the front because of the size limit. */
     std::deque<AuditRecord> records;
 };
 
+/** Sets the number and hash of @p record, appends it, and drops the oldest records beyond @p maximumRecords. */
 void append(AuditLog &log, AuditRecord record, std::size_t maximumRecords);
 
-/** Number of the first record that does not continue the hash chain; nothing when all do. */
+/** Verifies the hash chain. Returns the number of the first record that breaks it, or nothing when the chain is intact. */
 [[nodiscard]] std::optional<std::uint64_t> firstBrokenRecord(const AuditLog &log);
 
-/** One line about @p body, without keys or their hashes. */
+/** Describes @p body in one line for the audit log. Key hashes are left out. */
 [[nodiscard]] std::string describe(const CommandBody &body);
 
 } // namespace mimosahollow::control
--- a/include/mimosahollow/control/backendserver.h
+++ b/include/mimosahollow/control/backendserver.h
@@ -6,15 +6,15 @@
 
 namespace mimosahollow::control {
 
-/** A backend server that the operators have declared. One that announces itself without a declaration gets no work. */
+/** A backend server declared in the configuration. Servers that announce themselves without being declared receive no requests. */
 struct BackendServer
 {
     ServerId id{};
     std::string name;
     DomainId domain{};
-    std::string kind; /**< Name of the base model or of the plain service. */
+    std::string kind; /**< Name of the base model or plain service that it runs. */
     std::string address; /**< "IP:port". */
-    bool outOfService = false; /**< Taken out of service by an operator. */
+    bool outOfService = false; /**< Set by the bundle or by an operator. */
 
     friend bool operator==(const BackendServer &, const BackendServer &) = default;
 };
--- a/include/mimosahollow/control/chunkedlist.h
+++ b/include/mimosahollow/control/chunkedlist.h
@@ -11,15 +11,15 @@
 namespace mimosahollow::control {
 
 /**
- * A list whose copies share their elements in chunks; a changed element copies only its own chunk.
+ * A list with copy-on-write chunks: copies of the list share their chunks, and changing an element copies only its chunk.
  *
- * A new configuration with one changed adapter thus costs a few kilobytes instead of a second copy of all adapters.
+ * A new configuration with one changed adapter therefore costs a few kilobytes instead of a second copy of all adapters.
  */
 template<typename T>
 class ChunkedList
 {
 public:
-    /** 256 adapters are about 40 KB; the table of chunks for 93,000 adapters about 6 KB. */
+    /** Elements per chunk. 256 adapters take about 40 KB, and the chunk table of 93,000 adapters about 6 KB. */
     static constexpr std::size_t chunkSize = 256;
 
     class const_iterator // NOLINT(readability-identifier-naming): name expected by the standard library
@@ -150,7 +150,7 @@
         }
     }
 
-    /** The element at @p index for a change; copies its chunk. */
+    /** Mutable access to the element at @p index. Copies its chunk first when the chunk is full, because full chunks may be shared. */
     [[nodiscard]] T &mutableAt(std::size_t index)
     {
         const std::size_t chunk = index / chunkSize;
@@ -173,7 +173,7 @@
 private:
     using Chunk = std::vector<T>;
 
-    std::vector<std::shared_ptr<const Chunk>> m_chunks; /**< Full chunks; never changed, so threads may share them. */
+    std::vector<std::shared_ptr<const Chunk>> m_chunks; /**< Full chunks; immutable, so that threads can share them. */
     Chunk m_tail; /**< Elements after the last full chunk. */
     std::size_t m_size = 0;
 };
--- a/include/mimosahollow/control/configuration.h
+++ b/include/mimosahollow/control/configuration.h
@@ -15,11 +15,11 @@
 
 namespace mimosahollow::control {
 
-/** The configuration in force. Instances share it read-only; a change makes a new one. */
+/** The configuration in force. Shared read-only between threads; every change creates a new object. */
 struct Configuration
 {
-    Version version = 0; /**< Of the bundle in force. */
-    Version logIndex = 0; /**< Last entry of the log that changed the configuration; 0 for one that comes from a file. */
+    Version version = 0; /**< Version of the bundle in force. */
+    Version logIndex = 0; /**< Index of the last log entry that changed the configuration; 0 when it was read from a file. */
     std::vector<std::string> baseModels;
     std::vector<FailureDomain> domains;
     std::vector<Organisation> organisations;
@@ -27,11 +27,11 @@
     ChunkedList<Adapter> adapters;
     std::vector<Route> routes;
     std::vector<BackendServer> servers;
-    std::vector<Pool> pools; /**< In the order of their ids. */
-    std::vector<BucketOwner> bucketOwners; /**< In the order of their failure domains. */
-    std::vector<Instance> instances; /**< In the order of their ids. */
-    double loadRate = 4; /**< Loads per second that the weight store allows, fleet-wide. */
-    std::uint32_t loadsInFlight = 8; /**< Loads at one time before they slow down, fleet-wide. */
+    std::vector<Pool> pools; /**< Sorted by id. */
+    std::vector<BucketOwner> bucketOwners; /**< Sorted by failure domain. */
+    std::vector<Instance> instances; /**< Sorted by id. */
+    double loadRate = 4; /**< Adapter loads per second that the weight store supports, fleet-wide. */
+    std::uint32_t loadsInFlight = 8; /**< Concurrent adapter loads that the weight store supports without slowing down, fleet-wide. */
 };
 
 } // namespace mimosahollow::control
--- a/include/mimosahollow/control/failuredomain.h
+++ b/include/mimosahollow/control/failuredomain.h
@@ -6,13 +6,13 @@
 
 namespace mimosahollow::control {
 
-/** A failure domain and its part of every organisation's rate and burst. */
+/** A failure domain and its share of every organisation's rate limit. */
 struct FailureDomain
 {
     DomainId id{};
     std::string name;
-    double share = 0; /**< Part of rates, bursts and budgets; the sum over all failure domains is at most 1. */
-    bool outOfService = false; /**< Taken out of service by an operator. */
+    double share = 0; /**< Fraction of rates, bursts and budgets; the shares of all failure domains add up to at most 1. */
+    bool outOfService = false; /**< Set by the bundle or by an operator. */
 
     friend bool operator==(const FailureDomain &, const FailureDomain &) = default;
 };
--- a/include/mimosahollow/control/fleet.h
+++ b/include/mimosahollow/control/fleet.h
@@ -6,27 +6,27 @@
 
 namespace mimosahollow::control {
 
-/** A registered instance. A restarted instance gets a new id. */
+/** A registered instance. It is assigned a new id when it restarts. */
 struct Instance
 {
     InstanceId id{};
     std::string name;
     DomainId domain{};
-    std::string address; /**< "IP:port" of its link listener. */
-    std::uint64_t incarnation = 0; /**< Random start number; a resent registration of the same process gets the same id. */
+    std::string address; /**< "IP:port" on which it accepts connections from other instances. */
+    std::uint64_t incarnation = 0; /**< Random number drawn when the process starts. A repeated registration by the same process returns the same id. */
     Version registrationIndex = 0; /**< Log index of the registration. */
 
     friend bool operator==(const Instance &, const Instance &) = default;
 };
 
-/** All backend servers of one failure domain and kind, and the instance that owns them. */
+/** The backend servers of one kind in one failure domain, and the instance that owns them. */
 struct Pool
 {
     PoolId id{};
     DomainId domain{};
-    std::string kind; /**< Base model or plain service. */
-    InstanceId owner{}; /**< 0 when there is no owner. */
-    FencingNumber fencing = 0; /**< Grows with each assignment. */
+    std::string kind; /**< Name of the base model or plain service. */
+    InstanceId owner{}; /**< 0 when the pool has no owner. */
+    FencingNumber fencing = 0; /**< Fencing number; increases with each assignment. */
 
     friend bool operator==(const Pool &, const Pool &) = default;
 };
--- a/include/mimosahollow/control/increment.h
+++ b/include/mimosahollow/control/increment.h
@@ -10,11 +10,11 @@
 
 namespace mimosahollow::control {
 
-/** New or changed elements of one kind, and the keys of removed ones. */
+/** Added and changed elements of one type, and the keys of removed elements. */
 template<typename Element, typename Key>
 struct ElementChanges
 {
-    std::vector<Element> changed;
+    std::vector<Element> changed; /**< Added or changed. */
     std::vector<Key> removed;
 
     [[nodiscard]] bool empty() const noexcept
@@ -23,16 +23,16 @@
     }
 };
 
-/** Difference between two configurations of the same log. */
+/** Difference between two configurations derived from the same log. */
 struct Increment
 {
-    Version from = 0; /**< Log index of the configuration that it applies to. */
-    Version to = 0; /**< Log index after it. */
-    Version version = 0; /**< Bundle version after it. */
+    Version from = 0; /**< Log index of the configuration that the increment applies to. */
+    Version to = 0; /**< Log index of the resulting configuration. */
+    Version version = 0; /**< Bundle version of the resulting configuration. */
     double loadRate = 0;
     std::uint32_t loadsInFlight = 0;
     std::optional<std::vector<std::string>> baseModels;
-    std::optional<std::vector<Route>> routes; /**< All routes, when one changed: there are few. */
+    std::optional<std::vector<Route>> routes; /**< Complete list when any route changed; there are few routes. */
     ElementChanges<FailureDomain, DomainId> domains;
     ElementChanges<Organisation, OrganisationId> organisations;
     ElementChanges<ApiKey, KeyHash> keys;
@@ -44,16 +44,16 @@
 };
 
 enum class IncrementError : std::uint8_t {
-    BaseMismatch, /**< The configuration is not the one that the increment applies to. */
+    BaseMismatch, /**< The log index of the configuration is not Increment::from. */
 };
 
-/** What turns @p before into @p after. */
+/** Computes the increment that turns @p before into @p after. */
 [[nodiscard]] Increment difference(const Configuration &before, const Configuration &after);
 
-/** @p first followed by @p second. */
+/** Returns an increment with the effect of @p first followed by @p second. */
 [[nodiscard]] Increment composeIncrements(Increment first, const Increment &second);
 
-/** A new configuration that shares all unchanged adapters with @p before. */
+/** Returns a new configuration that shares unchanged chunks of adapters with @p before. */
 [[nodiscard]] std::variant<std::shared_ptr<const Configuration>, IncrementError> applyIncrement(const Configuration &before, const Increment &increment);
 
 } // namespace mimosahollow::control
--- a/include/mimosahollow/control/organisation.h
+++ b/include/mimosahollow/control/organisation.h
@@ -6,7 +6,7 @@
 
 namespace mimosahollow::control {
 
-/** An organisation and what it may use, fleet-wide. */
+/** An organisation and its fleet-wide rate limit. */
 struct Organisation
 {
     OrganisationId id{};
--- a/include/mimosahollow/control/route.h
+++ b/include/mimosahollow/control/route.h
@@ -8,15 +8,15 @@
 
 namespace mimosahollow::control {
 
-/** A plain service that is reached by a path prefix. */
+/** Maps a path prefix to a plain service. */
 struct Route
 {
     std::string prefix; /**< For example "/registry/". */
-    std::string service; /**< Kind of the backend servers that answer. */
-    bool repeatable = false; /**< Whether calls other than GET and HEAD may be sent again. */
-    bool open = false; /**< Whether calls need no key. */
+    std::string service; /**< Kind of the backend servers that serve the route. */
+    bool repeatable = false; /**< Whether calls other than GET and HEAD may be retried. */
+    bool open = false; /**< Whether calls are accepted without an API key. */
     Duration deadline = seconds(30);
-    std::vector<OrganisationId> organisations; /**< Empty: every organisation. */
+    std::vector<OrganisationId> organisations; /**< Organisations that may use the route; empty means all. */
 
     friend bool operator==(const Route &, const Route &) = default;
 };
--- a/include/mimosahollow/control/signedbundle.h
+++ b/include/mimosahollow/control/signedbundle.h
@@ -15,13 +15,13 @@
 using SecretKey = std::array<std::uint8_t, 64>;
 using Signature = std::array<std::uint8_t, 64>;
 
-/** An operator may hold several roles. */
+/** An operator and the roles it holds; an operator may hold both. */
 struct Operator
 {
     std::string name;
     PublicKey key{};
-    bool author = false;
-    bool approver = false;
+    bool author = false; /**< May author bundles. */
+    bool approver = false; /**< May approve bundles. */
 };
 
 struct KeyPair
@@ -30,16 +30,16 @@
     SecretKey secretKey{};
 };
 
-/** A bundle on its way from its author to the fleet. */
+/** The text of a bundle with the signatures of its author and approver. */
 struct SignedBundle
 {
-    Version version = 0; /**< Of the bundle; the one in its text must be the same. */
-    Version expectedVersion = 0; /**< Version in force that it was written against. */
+    Version version = 0; /**< Version of the bundle; must equal the version in its text. */
+    Version expectedVersion = 0; /**< Version that must be in force when the bundle is applied. */
     std::string text; /**< TOML. */
-    Digest hash{}; /**< BLAKE2b of the text. */
+    Digest hash{}; /**< BLAKE2b hash of the text. */
     std::string author;
     Signature authorSignature{};
-    std::string approver; /**< Empty until it is approved. */
+    std::string approver; /**< Empty until the bundle is approved. */
     Signature approverSignature{};
 };
 
@@ -48,7 +48,7 @@
     WrongHash,
     UnknownOperator,
     WrongRole,
-    SameOperator, /**< Author and approver are one operator, by name or by key. */
+    SameOperator, /**< Author and approver have the same name or the same key. */
     WrongSignature,
     NotApproved,
 };
@@ -62,19 +62,23 @@
 [[nodiscard]] KeyPair keyPairFromSeed(const std::array<std::uint8_t, 32> &seed);
 [[nodiscard]] Digest bundleHash(std::string_view text);
 
-/** Packs and signs @p text as its author. */
+/** Creates a bundle from @p text, signed by its author. */
 [[nodiscard]] SignedBundle signBundle(std::string text, Version version, Version expectedVersion, std::string author, const SecretKey &key);
-/** Adds the approver's signature, which covers the author's. */
+/** Adds the signature of the approver, which also covers the signature of the author. */
 void approveBundle(SignedBundle &bundle, std::string approver, const SecretKey &key);
 
-/** Nothing when hash, roles and both signatures are right. */
+/** Checks the hash, the roles and both signatures. Returns nothing when all are valid. */
 [[nodiscard]] std::optional<BundleError> verifyBundle(const SignedBundle &bundle, std::span<const Operator> operators);
 
-/** JSON text with hexadecimal signatures, for files and the admin interface. */
+/** Serializes a bundle to JSON, with hash and signatures in hexadecimal, for files and the admin interface. */
 [[nodiscard]] std::string packBundle(const SignedBundle &bundle);
 [[nodiscard]] std::variant<SignedBundle, BundleError> unpackBundle(std::string_view packed);
 
-/** Readable lines, "+ adapter base:a@1", "- key k" or "~ organisation o: rate 10 -> 20"; compares by name, not by id. */
+/**
+ * Human-readable differences, one per line: "+ adapter base:a@1", "- key k" or "~ organisation o: rate 10 -> 20".
+ *
+ * Elements are matched by name, not by id.
+ */
 [[nodiscard]] std::vector<std::string> bundleDifference(const Configuration &before, const Configuration &after);
 
 } // namespace mimosahollow::control
--- a/include/mimosahollow/control/snapshot.h
+++ b/include/mimosahollow/control/snapshot.h
@@ -8,7 +8,7 @@
 
 namespace mimosahollow::control {
 
-/** Raised when the layout changes in a way that older programs cannot read. */
+/** Incremented by layout changes that older releases cannot read. */
 inline constexpr std::uint16_t snapshotFormatVersion = 1;
 
 enum class SnapshotErrorKind : std::uint8_t {
@@ -24,10 +24,10 @@
     std::string message;
 };
 
-/** The whole state machine; equal states give equal bytes. */
+/** Encodes the whole state machine. The encoding is deterministic: equal states produce equal bytes. */
 [[nodiscard]] Bytes encodeSnapshot(const ControlState &state);
 
-/** Checks format, checksum and structure before anything is used. @p limits are those of this voter. */
+/** Decodes a snapshot after verifying its format version, checksum and structure. @p limits become the limits of the decoded state. */
 [[nodiscard]] std::variant<ControlState, SnapshotError> decodeSnapshot(std::span<const std::uint8_t> bytes, const ControlLimits &limits = {});
 
 } // namespace mimosahollow::control
--- a/src/control/controltables.h
+++ b/src/control/controltables.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Generated code follows neither the naming rules nor the linter's; as a system header it is exempt.
+// Generated code violates the naming and linter rules; diagnostics are suppressed in system headers.
 #pragma GCC system_header
 
 #include "../generated/control_generated.h"
--- a/src/control/elementkeys.h
+++ b/src/control/elementkeys.h
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-// The lists of a configuration in force are in the order of these keys.
+// The lists of the configuration in force are sorted by these keys.
 namespace mimosahollow::control {
 
 inline DomainId keyOf(const FailureDomain &element)
@@ -40,6 +40,7 @@
     return element.id;
 }
 
+/** Position of the element with @p key, or the position at which to insert it. */
 template<typename Element, typename Key>
 auto findPosition(std::vector<Element> &list, const Key &key)
 {
@@ -48,7 +49,7 @@
     });
 }
 
-/** Null when there is none. */
+/** Returns null when no element has @p key. */
 template<typename Element, typename Key>
 Element *findElement(std::vector<Element> &list, const Key &key)
 {
@@ -76,7 +77,7 @@
     }
 }
 
-/** Changes or appends an adapter. Returns false when its place is in the middle of the list. */
+/** Replaces or appends an adapter. Returns false, without a change, when it would have to be inserted before the end. */
 inline bool appendOrReplaceAdapter(ChunkedList<Adapter> &list, const Adapter &adapter)
 {
     if (list.empty() || list.back().id < adapter.id) {
--- a/src/control/wire.h
+++ b/src/control/wire.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-// Conversion between control structs and the tables of schema/control.fbs.
+// Conversion between the structs of the control state and the FlatBuffers tables of schema/control.fbs.
 namespace mimosahollow::control {
 
 using Builder = flatbuffers::FlatBufferBuilder;
@@ -22,7 +22,7 @@
 template<typename T>
 using WireTables = flatbuffers::Vector<flatbuffers::Offset<T>>;
 
-/** Reads tables that the verifier has accepted. Absent fields give defaults; wrong sizes and positions set @c failed. */
+/** Reads tables that passed the FlatBuffers verifier. Absent fields yield default values; invalid sizes, indexes and enumerators set @c failed. */
 struct WireReader
 {
     bool failed = false;
@@ -77,7 +77,7 @@
         return result;
     }
 
-    /** @p value as an enumerator up to @p last. */
+    /** Converts @p value to an enumerator; values above @p last set @c failed. */
     template<typename Enum>
     [[nodiscard]] Enum enumerator(std::uint8_t value, Enum last)
     {
@@ -114,7 +114,7 @@
     return builder.CreateVector(offsets);
 }
 
-/** A vector of tables; @p pack makes one. */
+/** Creates a vector of tables, calling @p pack for each element. */
 template<typename Table, typename List, typename Function>
 Offset<WireTables<Table>> packAll(Builder &builder, const List &list, Function pack)
 {
@@ -132,12 +132,16 @@
 [[nodiscard]] Offset<wire::Increment> packIncrement(Builder &builder, const Increment &increment);
 [[nodiscard]] Increment unpackIncrement(WireReader &reader, const wire::Increment &table);
 
-/** Bytes that are a verified table of type Root. FlatBuffers needs aligned data; @p copy holds it when @p bytes is not. */
+/**
+ * Verifies @p bytes and returns their root table, or null when they are invalid.
+ *
+ * FlatBuffers requires aligned data: unaligned input is copied to @p copy, which must then outlive the table.
+ */
 template<typename Root>
 const Root *verifiedRoot(std::span<const std::uint8_t> bytes, Bytes &copy, flatbuffers::uoffset_t maximumTables)
 {
     constexpr std::size_t alignment = 8;
-    constexpr std::size_t depth = 16; // the schema nests 5 tables
+    constexpr std::size_t depth = 16; // the schema nests tables 5 levels deep
     if (reinterpret_cast<std::uintptr_t>(bytes.data()) % alignment != 0) {
         copy.assign(bytes.begin(), bytes.end());
         bytes = copy;
