--- a/src/allowance/ratelimiter.cpp
+++ b/src/allowance/ratelimiter.cpp
@@ -20,7 +20,7 @@
         account.grants.pop_front();
     }
     if (account.grants.empty()) {
-        account.granted = 0; // no rounding errors are carried on
+        account.granted = 0; // clears accumulated rounding errors
     }
 }
 
@@ -52,7 +52,7 @@
         return;
     }
     RateLimitAccount &account = found->second;
-    // From the newest grants: what was granted earlier may leave the window before this return is counted.
+    // Subtracts from the latest grants, since earlier ones may leave the window before this return is processed.
     for (auto sum = account.grants.rbegin(); sum != account.grants.rend() && tokens > 0; ++sum) {
         const double part = std::min(tokens, sum->tokens);
         sum->tokens -= part;
--- a/tests/allowance/tokens.cpp
+++ b/tests/allowance/tokens.cpp
@@ -20,8 +20,8 @@
 
 } // namespace
 
-// Load pattern: one organisation asks for several times its rate for half a minute.
-TEST_CASE("An organisation over its rate gets all that every window allows, and no more")
+// Guards against a limiter that grants too much or too little when an organisation requests several times its rate for 30 s.
+TEST_CASE("An organisation above its rate is granted the full limit of every window and no more")
 {
     constexpr double rate = 1000;
     constexpr double burst = 2000;
@@ -47,12 +47,12 @@
         worst = std::max(worst, sum);
     }
     CHECK(worst <= limit * 1.0001);
-    // A bucket that has run empty would give 30 s x 1000 + 2000.
+    // A token bucket that has run empty would grant 30 s x 1000 + 2000.
     CHECK(total >= 30 * limit / 8.5);
 }
 
-// Load pattern: a burst of one organisation spends its limit, and the leader is lost in the same second.
-TEST_CASE("A new leader does not grant again what entry instances have spent")
+// Guards against a limit that is granted twice when the leader fails within a second after a burst has spent it.
+TEST_CASE("A new leader does not grant tokens again that entry instances have spent")
 {
     TimePoint now{seconds(100)};
     QuotaCache cache;
@@ -73,8 +73,9 @@
     CHECK(grant(limiter, "one", 20'000, now) >= 9000);
 }
 
-// Load pattern: an organisation at its rate has calls at all entry instances, each left with fewer tokens than a call needs.
-TEST_CASE("Tokens that nobody spends go back to the leader")
+// Guards against tokens that stay unused when an organisation calls all entry instances at its rate and each instance is left with
+// fewer tokens than a call needs.
+TEST_CASE("Expired tokens are returned to the leader and granted again")
 {
     TimePoint now{seconds(100)};
     RateLimiter limiter;
@@ -94,8 +95,8 @@
     CHECK_FALSE(spend(cache, "one", 1, now));
 }
 
-// Guards against tokens that are spent long after their grant, or without one.
-TEST_CASE("A wallet spends what it was granted, for a time")
+// Guards against tokens that are spent without a grant or after their lifetime.
+TEST_CASE("A quota cache spends granted tokens within their lifetime")
 {
     const TimePoint start{seconds(1)};
     QuotaCache cache;
@@ -107,7 +108,7 @@
     CHECK(spend(cache, "one", 60, start));
     CHECK_FALSE(spend(cache, "one", 10, start + cache.options.lifetime + milliseconds(1)));
 
-    SECTION("it asks for what its callers use")
+    SECTION("it requests tokens for the demand of its callers")
     {
         recordDemand(cache, "one", 1000, start);
         CHECK(tokensToRequest(cache, cache.quotas.at("one"), start) > 300);
