--- a/src/admission/bucketowner.cpp
+++ b/src/admission/bucketowner.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A holder that was silent for longer than any request may run has no refund left to report.
+// Holders without a session are removed after this time. No request may run longer, so that no refund is left to report.
 constexpr Duration holderRetention = seconds(600);
 
 void applyRaisedShare(BucketOwner &owner, TimePoint now)
@@ -42,12 +42,12 @@
     bucket.burst = burst;
     const Tokens newCapacity = capacity(owner, bucket);
     if (newCapacity < oldCapacity) {
-        // In proportion, like the leases of the holders, so that all of them together fit the new capacity.
+        // Reduced in proportion, as holders reduce their leases, so that all of them together fit the new capacity.
         bucket.level *= newCapacity / oldCapacity;
     }
 }
 
-/** Replies to requests of an earlier ownership carry another epoch and are not accepted. */
+/** Resets transfer state. Replies to requests of an earlier ownership carry another epoch and are rejected. */
 void resetTransfers(BucketOwner &owner)
 {
     for (BucketPeer &peer : owner.peers) {
@@ -68,12 +68,12 @@
             bucket->second.outstanding = std::max(0.0, bucket->second.outstanding - held(lease));
         }
     }
-    // A change that is still noted for the session finds no account and is dropped.
+    // sendChanges() drops pending changes of the session because their accounts no longer exist.
     holder.accounts.clear();
     holder.open = false;
 }
 
-/** The holder's session when @p session is newer than everything seen; null for a late or duplicated message. */
+/** Returns the holder if @p session is newer than every message seen from it; null for a late or duplicated message. */
 Holder *accept(BucketOwner &owner, const LeaseSession &session, TimePoint now)
 {
     if (owner.epoch == 0 || session.epoch != owner.epoch || session.domain != owner.domain || session.process == 0) {
@@ -84,7 +84,7 @@
         endSession(owner, holder, now);
     }
     if (session.session > holder.session.session) {
-        // The holder opens a session only after it has given up the earlier one.
+        // A holder opens a session only after it has dropped the previous one.
         endSession(owner, holder, now);
         holder.open = true;
         holder.expiresAt = now + quotaLease + quotaLeaseMargin;
@@ -104,13 +104,13 @@
     known.returned += returned;
     bucket.outstanding = std::max(0.0, bucket.outstanding - spent - returned);
     const Tokens room = std::max(0.0, capacity(owner, bucket) - bucket.outstanding - bucket.reservedForTransfers - bucket.level);
-    // Above the capacity only after it was lowered; the returned tokens are lost then.
+    // Returned tokens exceed the room only after the capacity was lowered; the excess is dropped.
     bucket.level += std::min(returned, room);
     const Tokens refunded = std::max(0.0, use.refunded - known.refunded);
     const Tokens credited = std::min(refunded, std::max(0.0, capacity(owner, bucket) - bucket.outstanding - bucket.reservedForTransfers - bucket.level));
     known.refunded += refunded;
     if (now < owner.grantsStartAt) {
-        // Leases of the old owner may still fill the capacity; the refund is lost.
+        // Leases of the previous owner may still use the whole capacity, so the refund is dropped.
         return;
     }
     bucket.level += credited;
@@ -186,7 +186,7 @@
 void startOwnership(BucketOwner &owner, FencingNumber epoch, const BucketHandover &handover, TimePoint now)
 {
     startOwnership(owner, epoch, now + handover.untilGrantsStart - quotaLease - quotaLeaseMargin, now);
-    // Leases of the old owner run out at their holders; until then process number 0 stands for all of them.
+    // Leases of the previous owner expire at their holders; until then process number 0 represents all of them.
     Holder &predecessorLeases = owner.holders[0];
     predecessorLeases.open = true;
     predecessorLeases.expiresAt = now + quotaLease + quotaLeaseMargin;
--- a/src/admission/bucketserve.cpp
+++ b/src/admission/bucketserve.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-// Spacing of grants that are pushed to one holder of an account: a compromise between messages and the latency of calls that wait
-// for the refill.
+// Minimum interval between unsolicited grants to one holder of an account. Trades the number of messages against the latency of calls
+// that wait for the refill.
 constexpr Duration pushInterval = milliseconds(50);
 
-// A recall is answered within a round trip; more frequent ones would only repeat it.
+// Minimum interval between recalls to one holder. It answers within a round trip, so that more frequent recalls only repeat the first.
 constexpr Duration recallInterval = milliseconds(100);
 
-// A holder of little is asked less often, as its tokens hardly shorten the wait.
+// Recall interval for a holder of less than smallHoldingPart of the unmet need, whose tokens hardly shorten the wait.
 constexpr Duration smallRecallInterval = milliseconds(400);
 constexpr double smallHoldingPart = 0.05;
 
@@ -93,7 +93,7 @@
             waiting.push_back({lease->second.wish.priority, process, &lease->second});
         }
     }
-    // The order is the same at every bucket, so that two calls that need tokens of several buckets cannot block each other.
+    // Every bucket uses the same order, so that two calls that need tokens of several buckets cannot deadlock.
     std::sort(waiting.begin(), waiting.end(), [](const WaitingHolder &left, const WaitingHolder &right) {
         return left.priority != right.priority ? left.priority > right.priority : left.process > right.process;
     });
@@ -145,7 +145,7 @@
             return grant.session.process == requester->session.process;
         });
     if (!answered) {
-        // A renewal without accounts is answered too; the answer extends the lease.
+        // A renewal without accounts needs an answer too, because the answer extends the lease.
         out.push_back({requester->session, quotaLease, owner.configuration, {}});
     }
 }
--- a/src/admission/buckettransfer.cpp
+++ b/src/admission/buckettransfer.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-// Bounds the fill that a full bucket loses before tokens move to an emptier one, at about 20 messages a second.
+// Interval between transfer requests. Limits the refill that a full bucket loses before tokens move to an emptier one, at about
+// 20 messages a second.
 constexpr Duration transferInterval = milliseconds(100);
 
-// Many round trips between failure domains; a later answer is not accepted.
+// Timeout of a transfer request: many round trips between failure domains. Later replies are rejected.
 constexpr Duration transferTimeout = milliseconds(250);
 
-// Spacing of requests to a peer that did not answer.
+// Time without requests to a peer after it did not answer.
 constexpr Duration unansweredBackoff = milliseconds(1000);
 
-// A bucket that lacks less than this part of its capacity does not ask.
+// No transfer is requested for a bucket whose room is at most this part of its capacity.
 constexpr double balanceTolerance = 0.02;
 
 void releaseReservations(BucketOwner &owner, BucketPeer &peer, TimePoint now)
@@ -30,7 +31,7 @@
     peer.pending.clear();
 }
 
-/** Room for a transfer; the fill of the time until the timeout is left out, so that an unanswered request delays no fill. */
+/** Room for a transfer less the refill until the timeout, so that an unanswered request does not delay the refill. */
 Tokens roomOf(const BucketOwner &owner, const Bucket &bucket)
 {
     const Tokens fill = bucket.rate * owner.share * toSeconds(transferTimeout);
@@ -76,7 +77,7 @@
     return peer == owner.peers.end() ? nullptr : &*peer;
 }
 
-/** Part of the level that makes both buckets equally full. */
+/** Amount to transfer so that both buckets have the same fill ratio. */
 Tokens surplus(const BucketOwner &owner, const Bucket &bucket, const TransferWish &wish)
 {
     const Tokens bucketCapacity = capacity(owner, bucket);
@@ -96,7 +97,7 @@
             continue;
         }
         if (epoch > peer.epoch) {
-            // A reply of the old owner is no longer accepted, so that its room is free again.
+            // Replies of the previous owner are rejected from now on, so the capacity reserved for them is released.
             releaseReservations(owner, peer, now);
             peer = newPeer(domain, instance, epoch);
         }
--- a/src/admission/keytable.cpp
+++ b/src/admission/keytable.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Hashes are uniform, so the leading bytes select a bucket. They are known to nobody without the fleet secret.
+// Hashes are uniformly distributed, so their leading bytes select the bucket. They cannot be computed without the fleet secret.
 std::uint32_t bucketOf(const KeyHash &hash, std::size_t buckets) noexcept
 {
     const std::uint32_t leadingBytes = static_cast<std::uint32_t>(hash[0]) << 16U | static_cast<std::uint32_t>(hash[1]) << 8U | hash[2];
     return leadingBytes & static_cast<std::uint32_t>(buckets - 1);
 }
 
-// Three leading bytes select the bucket.
+// The bucket is selected by three leading bytes.
 constexpr std::size_t maximumBuckets = std::size_t{1} << 24U;
 
 } // namespace
@@ -50,7 +50,7 @@
     }
     const std::uint32_t bucket = bucketOf(hash, table.bucketStarts.size() - 1);
     std::optional<OrganisationId> found;
-    // The whole bucket is compared, so that the time does not tell the position of a match.
+    // Compares the whole bucket, so that the run time does not reveal the position of a match.
     for (std::uint32_t i = table.bucketStarts[bucket]; i < table.bucketStarts[bucket + 1]; ++i) {
         const KeyTable::Entry &entry = table.entries[i];
         if (sodium_memcmp(entry.hash.data(), hash.data(), hash.size()) == 0) {
--- a/src/admission/leasemessages.cpp
+++ b/src/admission/leasemessages.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Four renewals may be lost within a lease.
+// A lease lasts for four renewal intervals, so that lost renewals do not end it at once.
 constexpr Duration renewalInterval = milliseconds(500);
 
-// Spacing of messages to one owner: waiting calls that arrive together share a request.
+// Minimum interval between messages to one owner, so that waiting calls that arrive together share a request.
 constexpr Duration requestInterval = milliseconds(2);
 
 struct PendingChanges
@@ -42,7 +42,7 @@
         wish.target = std::max(held, wish.need + prefetch);
         result.needsAnswer = result.needsAnswer || wish.target > held + tokenTolerance;
         const Tokens used = lease.use.spent + lease.use.returned;
-        // A need that is given up must reach the owner in a request.
+        // A withdrawn need must reach the owner in a request.
         result.needsAnswer = result.needsAnswer || lease.unmet > tokenTolerance;
         lease.requestedNeed = used + wish.need;
         lease.requestedTarget = used + wish.target;
--- a/src/admission/leaseplan.cpp
+++ b/src/admission/leaseplan.cpp
@@ -8,38 +8,41 @@
 
 namespace {
 
-// Time constant of the demand estimate: long enough to smooth single calls, short enough to follow traffic that moves away.
+// Time constant of the demand estimate: long enough to smooth single calls, short enough to follow traffic that shifts to other
+// instances.
 constexpr double demandSeconds = 0.3;
 
-// Asked ahead: a few times the request interval and round trip, and far less than the lease time that a crash would lose.
+// Demand of this time is prefetched: a few request intervals and round trips, and far less than the lease duration, since a crash
+// loses the tokens held.
 constexpr double prefetchSeconds = 0.4;
 
-// One instance asks ahead for at most this part of a bucket, so that the other instances find tokens.
+// One instance prefetches at most this part of a bucket, so that tokens remain for the other instances.
 constexpr double prefetchPart = 0.5;
 
-// A call of the same cost is expected for this time after the last one, and its cost is held ready. Longer times hold more
-// tokens idle, shorter ones make sparse calls wait for a round trip.
+// For this time after a call, a call of the same cost is expected and its cost is prefetched. Longer times hold more tokens idle;
+// shorter ones make infrequent calls wait for a round trip.
 constexpr Duration sparseCallTime = seconds(2);
 
-// Bounds what sparse calls hold at one instance; about the number of instances of a failure domain at the future size.
+// Part of a bucket that one instance may hold for infrequent calls; 16 is about the planned number of instances of a failure domain.
 constexpr double sparsePart = 1.0 / 16;
 
-// Width of the first age class of waiting calls. Classes double, so that priorities change rarely.
+// Width of the first age class of waiting calls. Each class is twice as wide as the previous one, so that priorities change rarely.
 constexpr Duration ageClass = milliseconds(50);
 
-// A home bucket without an answer for this time does not hold up the requests to other failure domains.
+// When the home bucket has not answered for this time, requests to other failure domains no longer wait for it.
 constexpr Duration homeAnswerTimeout = milliseconds(20);
 
-// Spacing of requests for one account to a bucket owner that is short; it serves the needs it knows of meanwhile.
+// Minimum interval between requests for one account to a bucket owner that is short of tokens; it serves the known needs meanwhile.
 constexpr Duration shortageRequestInterval = milliseconds(100);
 
-// The same for other failure domains, which only add to what the home bucket gives.
+// The same for other failure domains, which only supplement the home bucket.
 constexpr Duration remoteRequestInterval = milliseconds(300);
 
-// Another failure domain is asked when it can give at least this part. Smaller amounts arrive by balancing, with fewer messages.
+// Tokens are requested from another failure domain if it can grant at least this part of them. Smaller amounts arrive through
+// transfers between buckets, with fewer messages.
 constexpr double minimumUsefulPart = 0.5;
 
-// A call that has used half of its time asks for any amount, but only this many failure domains at once.
+// When a call has waited for half of its time, any amount is requested, but from at most this many failure domains at once.
 constexpr std::size_t urgentDomains = 6;
 
 std::uint64_t ageClassOf(const WaitingCall &call, TimePoint now)
@@ -48,7 +51,7 @@
     return static_cast<std::uint64_t>(std::bit_width(static_cast<std::uint64_t>(age))) + 1;
 }
 
-// Calls of the first call's age class only, so that a long queue at one instance does not overtake older calls at others.
+// Counts only calls in the age class of the first one, so that a long queue at one instance does not overtake older calls at others.
 Tokens urgentNeed(const LeaseAccount &account, TimePoint now)
 {
     Tokens need = 0;
@@ -91,10 +94,10 @@
     const Tokens wanted = used + (extraNeed > tokenTolerance ? availableIn(lease) + extraNeed : 0);
     const bool more = extraNeed > tokenTolerance && wanted > lease.requestedNeed + tokenTolerance;
     const bool less = lease.unmet > tokenTolerance && wanted < lease.requestedNeed - tokenTolerance;
-    // An owner that is known to be short gains nothing from each single new call; the next tick after the interval tells it.
+    // A bucket owner that is short of tokens need not hear of every new call; the first tick after the interval reports them together.
     const bool tooSoon = lease.unmet > tokenTolerance && now - lease.requestedAt < interval;
     if ((more || less) && !tooSoon) {
-        // While the home bucket is short, the requests of several accounts share the message of the next tick.
+        // While the home bucket is short, requests for several accounts share the message of the next tick.
         queueChange(source, id, lease, lease.unmet <= tokenTolerance && now >= account.shortageUntil);
     }
 }
@@ -124,7 +127,7 @@
     if (candidates.empty()) {
         return;
     }
-    // Instances start at different places among equal candidates.
+    // Equal candidates are tried in an order that differs between instances.
     std::rotate(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(leases.process % candidates.size()), candidates.end());
     std::stable_sort(candidates.begin(), candidates.end(), [](const Candidate &left, const Candidate &right) {
         return left.unreachable != right.unreachable ? right.unreachable : left.reachable > right.reachable;
@@ -182,7 +185,7 @@
     account.priority = 0;
     Tokens missing = 0;
     if (!account.waiting.empty()) {
-        // Ends with bits of the process number, so that every bucket orders calls of the same age class alike.
+        // The low bits are those of the process number, so that every bucket orders calls of one age class in the same way.
         account.priority = ageClassOf(account.waiting.front(), now) << 32U | (leases.process & 0xFFFFFFFFU);
         missing = std::max(0.0, urgentNeed(account, now) - available(leases, id, now));
     }
@@ -206,7 +209,7 @@
     double fill = 0;
     bool known = false;
     for (const LeaseSource &source : leases.sources) {
-        // A silent owner at home has crashed and is replaced; calls wait for its successor. Others are cut off.
+        // An unreachable home owner has crashed and will be replaced, so calls wait for its successor. Other owners are partitioned off.
         const bool unreachable = isUnreachable(source, now) && !isHome(leases, source);
         known = known || !source.retired;
         if (source.retired || unreachable) {
@@ -217,7 +220,7 @@
         fill += account.rate * source.share;
     }
     if (!known) {
-        // No bucket owner is known yet; the call waits for one.
+        // No bucket owner is known yet; the call waits until one is.
         return Duration::zero();
     }
     if (cost > capacity + tokenTolerance || (needed > reachable && fill <= 0)) {
--- a/src/admission/quotaleases.cpp
+++ b/src/admission/quotaleases.cpp
@@ -8,26 +8,26 @@
 
 namespace {
 
-// Bounds the memory of calls that wait for tokens, like the queue of an organisation at a pool.
+// Limits the memory of calls that wait for tokens; the same limit as for the queue of an organisation at a pool.
 constexpr std::size_t maximumWaiting = 1024;
 
-// Hint for calls whose wait cannot be estimated, because the buckets they need are unreachable.
+// Retry hint for calls whose wait cannot be estimated because the buckets they need are unreachable.
 constexpr Duration unknownRetryAfter = seconds(1);
 
-// Other failure domains are asked ahead for this time after the home bucket was short.
+// Tokens are also prefetched from other failure domains for this time after the home bucket was short.
 constexpr Duration shortageDuration = seconds(1);
 
-// Use is reported at this interval; the bucket refills for spent tokens only once it knows of them.
+// Interval of use reports. The bucket refills for spent tokens only once they are reported.
 constexpr Duration reportInterval = milliseconds(100);
 
-// A request or its answer may have been lost; waiting calls ask again after this time.
+// Requests for waiting calls are repeated after this time, since a request or its answer may have been lost.
 constexpr Duration resendInterval = milliseconds(150);
 
-// Spacing of requests for tokens ahead of one account.
+// Minimum interval between prefetch requests for one account.
 constexpr Duration prefetchInterval = milliseconds(50);
 
-// The estimate misses tokens that are under way between buckets (up to 250 ms) and use that is not yet reported (100 ms). A call
-// that is late by less waits, so that an early refusal is never wrong for this reason.
+// Error of the estimated wait, which omits tokens in transit between buckets (up to 250 ms) and unreported use (100 ms). A call that
+// would miss its deadline by less waits, so that the error cannot cause a wrong early refusal.
 constexpr Duration estimateError = milliseconds(350);
 
 void refuse(LeaseActions &out, RequestId id, RefusalReason reason, std::optional<Duration> retryAfter)
@@ -45,16 +45,16 @@
 
 void refuseLate(const QuotaLeases &leases, AccountId id, LeaseAccount &account, TimePoint now, LeaseActions &out)
 {
-    Tokens ahead = 0;
+    Tokens earlierCost = 0;
     for (auto call = account.waiting.begin(); call != account.waiting.end();) {
         if (call->cost > account.burst + tokenTolerance) {
             refuse(out, call->id, RefusalReason::CostAboveBurst, Duration::zero());
             call = account.waiting.erase(call);
         } else if (now >= call->deadline) {
-            refuse(out, call->id, RefusalReason::RateLimited, timeToReach(leases, id, account, call->cost, ahead + call->cost, now));
+            refuse(out, call->id, RefusalReason::RateLimited, timeToReach(leases, id, account, call->cost, earlierCost + call->cost, now));
             call = account.waiting.erase(call);
         } else {
-            ahead += call->cost;
+            earlierCost += call->cost;
             ++call;
         }
     }
@@ -91,11 +91,11 @@
     if (account.waiting.empty()) {
         const Tokens held = availableIn(lease);
         const Tokens prefetch = prefetchTarget(leases, source, account, now);
-        const bool spaced = now - lease.requestedAt >= prefetchInterval;
-        if (held > 2 * prefetch + tokenTolerance && spaced) {
+        const bool intervalElapsed = now - lease.requestedAt >= prefetchInterval;
+        if (held > 2 * prefetch + tokenTolerance && intervalElapsed) {
             lease.use.returned += held - prefetch;
             queueChange(source, id, lease);
-        } else if (held < prefetch / 2 && spaced) {
+        } else if (held < prefetch / 2 && intervalElapsed) {
             queueChange(source, id, lease);
         }
     }
@@ -115,7 +115,7 @@
     queueChange(source, id, lease, true);
 }
 
-void apply(QuotaLeases &leases, LeaseSource &source, const TokenGrant &grant, const GrantItem &item, TimePoint now)
+void applyItem(QuotaLeases &leases, LeaseSource &source, const TokenGrant &grant, const GrantItem &item, TimePoint now)
 {
     const auto account = leases.accounts.find(item.account);
     const auto found = source.leases.find(item.account);
@@ -127,7 +127,7 @@
     if (added > 0) {
         lease.granted = item.granted;
         if (grant.configuration < account->second.loweredInVersion) {
-            // Granted under a larger capacity than the one in force here.
+            // Granted under a larger capacity than the one in effect here.
             lease.use.returned += added;
             queueChange(source, item.account, lease);
         }
@@ -191,7 +191,7 @@
         set(accountOf(organisation.id), organisation.rate, organisation.burst);
     }
     for (const AccountId id : removed) {
-        // Kept without limits; calls that wait are refused by the next tick.
+        // The account remains with rate and burst 0; the next tick refuses its waiting calls.
         setLimits(leases, id, 0, 0, shares, configuration.version);
     }
     for (std::size_t i = 0; i < shares.size(); ++i) {
@@ -299,8 +299,8 @@
 Tokens refund(QuotaLeases &leases, AccountId id, Tokens reserved, Tokens used)
 {
     const auto found = leases.accounts.find(id);
-    Tokens rest = std::clamp(reserved - used, 0.0, std::max(0.0, reserved));
-    if (found == leases.accounts.end() || rest <= 0) {
+    Tokens remaining = std::clamp(reserved - used, 0.0, std::max(0.0, reserved));
+    if (found == leases.accounts.end() || remaining <= 0) {
         return 0;
     }
     Tokens credited = 0;
@@ -309,14 +309,14 @@
         if (lease == source.leases.end()) {
             continue;
         }
-        // The owner still counts use that it has not been told of as outstanding, so that this much may be spent again.
-        const Tokens part = std::min(rest, std::max(0.0, lease->second.use.spent - lease->second.sent.spent));
+        // The owner still counts unreported use as outstanding, so that this amount may be spent again.
+        const Tokens part = std::min(remaining, std::max(0.0, lease->second.use.spent - lease->second.sent.spent));
         lease->second.use.spent -= part;
         credited += part;
-        rest -= part;
+        remaining -= part;
     }
-    if (rest > 0) {
-        found->second.pendingRefund += rest;
+    if (remaining > 0) {
+        found->second.pendingRefund += remaining;
         if (!leases.sources.empty() && isHome(leases, leases.sources.front())) {
             queueChange(leases.sources.front(), id, leaseOf(leases.sources.front(), id));
         }
@@ -341,7 +341,7 @@
     }
     source->awaitingAnswer = false;
     for (const GrantItem &item : grant.items) {
-        apply(leases, *source, grant, item, now);
+        applyItem(leases, *source, grant, item, now);
     }
     for (const GrantItem &item : grant.items) {
         const auto account = leases.accounts.find(item.account);
--- a/src/admission/retrybudget.cpp
+++ b/src/admission/retrybudget.cpp
@@ -11,7 +11,7 @@
 
 bool takeRetry(RetryBudget &budget) noexcept
 {
-    // The tolerance absorbs the rounding of ten additions of 0.1.
+    // Covers the rounding error of ten additions of 0.1.
     constexpr double tolerance = 1e-9;
     if (budget.balance < 1 - tolerance) {
         return false;
--- a/tests/admission/keytable.cpp
+++ b/tests/admission/keytable.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-// Guards against keys that are lost in a bucket, match the wrong organisation, or work after their withdrawal (P3, P5).
+// Guards against keys that are not found, match the wrong organisation, or remain valid after their withdrawal (P3, P5).
 TEST_CASE("The key table finds exactly the keys of its configuration")
 {
     REQUIRE_FALSE(admission::findKey({}, KeyHash{}));
@@ -63,7 +63,7 @@
     REQUIRE(retries >= 100);
     REQUIRE(retries <= 101);
 
-    SECTION("a quiet period saves up a bounded reserve")
+    SECTION("requests without retries accumulate a bounded reserve")
     {
         for (int i = 0; i < 1000; ++i) {
             admission::countRequest(budget);
--- a/tests/admission/quotaleases.cpp
+++ b/tests/admission/quotaleases.cpp
@@ -5,20 +5,20 @@
 using namespace mimosahollow;
 using namespace mimosahollow::tests;
 
-// Guards against refusals of calls that the refill reaches in time, and against calls that wait for what cannot come.
+// Guards against refusing calls whose cost the refill reaches in time, and against queueing calls whose cost it cannot reach.
 TEST_CASE("A call waits for the refill or is refused at once")
 {
     TokenFleet fleet(2, 1, 1000, 2000, 1);
     fleet.advance(seconds(3));
 
-    SECTION("a cost above the burst is refused whatever the buckets hold")
+    SECTION("a call that costs more than the burst is refused at any bucket level")
     {
         fleet.call(0, 2001, 0, seconds(60));
         REQUIRE(fleet.refused.size() == 1);
         REQUIRE(fleet.refused[0].reason == RefusalReason::CostAboveBurst);
     }
 
-    SECTION("the whole burst is reached from one instance")
+    SECTION("one instance can spend the whole burst")
     {
         fleet.call(0, 2000, 2000, milliseconds(500));
         fleet.advance(milliseconds(500));
@@ -42,14 +42,14 @@
         }
     }
 
-    SECTION("an isolated failure domain spends its own part")
+    SECTION("an isolated failure domain spends its own share of the burst")
     {
         fleet.partition(1, true);
         fleet.call(0, 900, 900, seconds(1));
         fleet.advance(milliseconds(100));
         REQUIRE(fleet.ran == 1);
 
-        SECTION("and refills at its own part of the rate")
+        SECTION("and refills at its own share of the rate")
         {
             fleet.call(0, 400, 400, seconds(1));
             fleet.advance(seconds(1));
@@ -59,7 +59,7 @@
 }
 
 // Guards against refunds that create tokens or exceed the reservation.
-TEST_CASE("Unused tokens come back up to the reservation")
+TEST_CASE("Unused tokens are refunded up to the reservation")
 {
     TokenFleet fleet(1, 1, 0, 1000, 1);
     fleet.instances[0].owner.buckets[account].level = 1000;
@@ -85,8 +85,8 @@
     }
 }
 
-// Guards against a changed configuration that creates tokens or takes force late.
-TEST_CASE("A lower rate and burst hold at once")
+// Guards against a configuration change that creates tokens or takes effect late.
+TEST_CASE("A lowered rate and burst take effect at once")
 {
     TokenFleet fleet(3, 2, 1000, 3000, 5);
     fleet.advance(seconds(5));
@@ -97,7 +97,7 @@
     fleet.configure(500, 900);
     fleet.ledger = {500, 900, 0, 0, fleet.now};
 
-    SECTION("a burst of calls after the change stays within the new bound, with grants of the old configuration under way")
+    SECTION("calls after the change stay within the new limit while grants of the old configuration are in transit")
     {
         for (int i = 0; i < 1000; ++i) {
             fleet.call(fleet.random() % 6, 10, 10, milliseconds(500));
@@ -106,9 +106,9 @@
         REQUIRE(fleet.ran > 100);
         REQUIRE(fleet.ledger.holds());
     }
-    SECTION("a burst that is raised again starts with the tokens of the lower one")
+    SECTION("a burst that is raised again starts with the tokens of the lowered burst")
     {
-        // Leases are cut at once; the buckets hear of it within a report interval and a tick.
+        // Leases are reduced at once; the buckets learn of it within a report interval and a tick.
         fleet.advance(milliseconds(200));
         fleet.configure(500, 3000);
         fleet.ledger = {500, 900, 0, 0, fleet.now};
@@ -120,8 +120,8 @@
     }
 }
 
-// Guards against two failure domains that use the same part of a rate while a configuration spreads.
-TEST_CASE("A raised share takes force only after the other domains have lowered theirs")
+// Guards against two failure domains that use the same share of a rate while a configuration propagates.
+TEST_CASE("A raised share takes effect only after the other domains have lowered theirs")
 {
     BucketOwner owner;
     owner.domain = DomainId{1};
@@ -141,7 +141,7 @@
     tick(owner, start + shareRaiseDelay, out);
     REQUIRE(owner.share == 0.8);
 
-    SECTION("a lowered share holds at once")
+    SECTION("a lowered share takes effect at once")
     {
         configuration.version = 3;
         configuration.domains[0].share = 0.3;
@@ -150,8 +150,8 @@
     }
 }
 
-// Guards against a successor that hands out tokens while leases of a predecessor may still be spent.
-TEST_CASE("A new owner waits for the leases of the old one")
+// Guards against a new owner that grants tokens while leases of its predecessor may still be spent.
+TEST_CASE("A new owner grants nothing until the leases of the previous owner have expired")
 {
     BucketOwner owner;
     owner.domain = DomainId{1};
@@ -166,32 +166,32 @@
     REQUIRE(owner.grantsStartAt == start + wait);
     BucketActions out;
 
-    SECTION("a refund before the start is lost")
+    SECTION("a refund before grants start is dropped")
     {
         handle(owner, TokenReport{{DomainId{1}, 2, InstanceId{1}, 7, 1, 1}, false, {{account, 0, 0, 500}}}, start + seconds(1), out);
         REQUIRE(owner.buckets[account].level == 0);
     }
-    SECTION("a graceful handover before the start does not shorten the wait")
+    SECTION("a graceful handover before grants start does not shorten the wait")
     {
         const BucketHandover handover = stopOwnership(owner, start + seconds(1));
         startOwnership(owner, 3, handover, start + seconds(1));
         REQUIRE(owner.grantsStartAt == start + wait);
     }
-    SECTION("the bucket fills from the start on")
+    SECTION("the bucket refills from the time at which grants start")
     {
         handle(owner, TokenRequest{{DomainId{1}, 2, InstanceId{1}, 7, 1, 1}, {{{account, 0, 0, 0}, 0, 1000, 0}}}, start + wait + seconds(1), out);
         REQUIRE(out.grants.at(0).items.at(0).granted == Approx(100));
     }
 }
 
-// Guards against an estimate that forgets the tokens that the instance itself has just given back, and against a request for each
-// call when calls come faster than the interval of requests ahead.
-TEST_CASE("An instance knows what it gave back and asks ahead")
+// Guards against an estimate that omits tokens the instance has just returned, and against one request per call when calls arrive
+// faster than the prefetch interval.
+TEST_CASE("An instance accounts for returned tokens and prefetches")
 {
     TokenFleet fleet(4, 2, 500, 2450, 3);
     fleet.advance(seconds(6));
 
-    SECTION("two calls that take the whole burst run from one instance")
+    SECTION("two calls that together need more than the burst run at one instance")
     {
         fleet.call(2, 1331, 1331, seconds(1));
         fleet.advance(milliseconds(150));
@@ -199,7 +199,7 @@
         fleet.advance(milliseconds(700));
         REQUIRE(fleet.ran == 2);
     }
-    SECTION("50 calls in a second cost less than a request and an answer each")
+    SECTION("50 calls in a second need fewer than 100 requests and grants")
     {
         const std::uint64_t before = fleet.messagesByKind[0] + fleet.messagesByKind[2];
         for (int i = 0; i < 50; ++i) {
@@ -211,14 +211,14 @@
     }
 }
 
-// Guards against a load bucket that is handled unlike the bucket of an organisation.
-TEST_CASE("The load bucket of the weight store allows its rate and burst")
+// Guards against a load bucket that behaves differently from the bucket of an organisation.
+TEST_CASE("The load bucket allows its rate and burst")
 {
     TokenFleet fleet(4, 1, 1000, 1000, 3);
     fleet.advance(seconds(5));
     const TimePoint start = fleet.now;
     QuotaLeases &leases = fleet.instances[0].leases;
-    // The fake network also carries the load account; calls that wait are counted when the fleet lets them run.
+    // The simulated network also carries the load account; waiting calls are counted when they run.
     while (fleet.now < start + seconds(5)) {
         if (leases.accounts[loadAccount].waiting.empty()) {
             fleet.callAccount(0, loadAccount, loadCost, seconds(10));
--- a/tests/admission/tokencodec.cpp
+++ b/tests/admission/tokencodec.cpp
@@ -15,19 +15,19 @@
 
 } // namespace
 
-// Guards against fields that are lost or swapped between two instances, and against damaged frames that are used.
-TEST_CASE("Token messages survive the wire")
+// Guards against fields that the codec drops or swaps, and against damaged frames that it accepts.
+TEST_CASE("Token messages are unchanged by encoding and decoding")
 {
     const TokenRequest request{session, {{{AccountId{1}, 1.5, 2, 3}, 4, 5, 6}, {{AccountId{2}, 0, 0, 0}, 0, 0, 0}}};
     const TokenReport report{session, true, {{AccountId{7}, 8, 9, 10}}};
     const TokenGrant grant{session, milliseconds(1500), 11, {{AccountId{12}, 13, 14, 15, 16}}};
-    const TransferRequest ask{{DomainId{1}, DomainId{2}, InstanceId{3}, 4, 5, 6}, {{AccountId{7}, 8, 9, 10}}};
-    const TransferReply reply{{DomainId{1}, DomainId{2}, InstanceId{3}, 4, 5, 6}, {{AccountId{7}, 8}}};
+    const TransferRequest transferRequest{{DomainId{1}, DomainId{2}, InstanceId{3}, 4, 5, 6}, {{AccountId{7}, 8, 9, 10}}};
+    const TransferReply transferReply{{DomainId{1}, DomainId{2}, InstanceId{3}, 4, 5, 6}, {{AccountId{7}, 8}}};
     REQUIRE(std::get<TokenRequest>(link::decodeTokenRequest(link::encode(request))) == request);
     REQUIRE(std::get<TokenReport>(link::decodeTokenReport(link::encode(report))) == report);
     REQUIRE(std::get<TokenGrant>(link::decodeTokenGrant(link::encode(grant))) == grant);
-    REQUIRE(std::get<TransferRequest>(link::decodeTransferRequest(link::encode(ask))) == ask);
-    REQUIRE(std::get<TransferReply>(link::decodeTransferReply(link::encode(reply))) == reply);
+    REQUIRE(std::get<TransferRequest>(link::decodeTransferRequest(link::encode(transferRequest))) == transferRequest);
+    REQUIRE(std::get<TransferReply>(link::decodeTransferReply(link::encode(transferReply))) == transferReply);
 
     SECTION("at any alignment of the received bytes")
     {
@@ -35,7 +35,7 @@
         shifted.insert(shifted.begin(), 0);
         REQUIRE(std::get<TokenRequest>(link::decodeTokenRequest(std::span(shifted).subspan(1))) == request);
     }
-    SECTION("a message of another kind is malformed, and so is a cut message unless only the empty end is missing")
+    SECTION("a message of another kind is malformed, and so is a truncated message unless only unused trailing bytes are missing")
     {
         const std::vector<std::uint8_t> bytes = link::encode(request);
         REQUIRE(std::get<link::TokenCodecError>(link::decodeTokenGrant(bytes)) == link::TokenCodecError::Malformed);
@@ -47,15 +47,15 @@
     SECTION("amounts that are not finite or negative are refused")
     {
         for (const double amount : {-1.0, std::nan(""), std::numeric_limits<double>::infinity()}) {
-            TokenGrant bad = grant;
-            bad.items[0].granted = amount;
-            REQUIRE(std::get<link::TokenCodecError>(link::decodeTokenGrant(link::encode(bad))) == link::TokenCodecError::InvalidAmount);
+            TokenGrant invalid = grant;
+            invalid.items[0].granted = amount;
+            REQUIRE(std::get<link::TokenCodecError>(link::decodeTokenGrant(link::encode(invalid))) == link::TokenCodecError::InvalidAmount);
         }
     }
     SECTION("a validity beyond a quota lease is refused")
     {
-        TokenGrant bad = grant;
-        bad.validFor = quotaLease + milliseconds(1);
-        REQUIRE(std::get<link::TokenCodecError>(link::decodeTokenGrant(link::encode(bad))) == link::TokenCodecError::InvalidDuration);
+        TokenGrant invalid = grant;
+        invalid.validFor = quotaLease + milliseconds(1);
+        REQUIRE(std::get<link::TokenCodecError>(link::decodeTokenGrant(link::encode(invalid))) == link::TokenCodecError::InvalidDuration);
     }
 }
--- a/tests/admission/tokenhistories.cpp
+++ b/tests/admission/tokenhistories.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-// Fixed, so that each run checks the same histories. RapidCheck reads it when the first property runs.
+// A fixed seed makes each run check the same histories. RapidCheck reads RC_PARAMS when the first property runs.
 const bool seedFixed = [] {
     const char *parameters = "seed=20261204 max_success=40 max_size=100";
     std::cout << "RapidCheck: " << parameters << '\n';
     return setenv("RC_PARAMS", parameters, 0) == 0;
 }();
 
-// Quiet, below the rate, overload, and a burst that empties every bucket and lease.
-constexpr std::array loads{0.0, 0.6, 3.0, 30.0};
+// Multiples of the rate: idle, below the rate, overload, and a burst that empties every bucket and lease.
+constexpr std::array loadFactors{0.0, 0.6, 3.0, 30.0};
 
 /** Random traffic of about @p load x the rate at all instances for @p steps x 10 ms. */
 void traffic(TokenFleet &fleet, double load, int steps)
@@ -62,7 +62,7 @@
 
 } // namespace
 
-// Guards against tokens that are created by lost, duplicated, late or reordered messages, crashes, owner changes and partitions.
+// Guards against tokens created by lost, duplicated, late or reordered messages, crashes, owner changes and partitions.
 TEST_CASE("Spending stays within rate and burst in every window of random histories")
 {
     REQUIRE(seedFixed);
@@ -75,7 +75,7 @@
         fleet.faults = {*rc::gen::inRange(0, 20) / 100.0, *rc::gen::inRange(0, 20) / 100.0, *rc::gen::inRange(0, 10) / 100.0};
         fleet.advance(seconds(1));
         for (int phase = 0; phase < 12; ++phase) {
-            traffic(fleet, loads[fleet.random() % loads.size()], 70);
+            traffic(fleet, loadFactors[fleet.random() % loadFactors.size()], 70);
             randomFault(fleet);
         }
         for (const TestInstance &instance : fleet.instances) {
@@ -86,8 +86,8 @@
     }));
 }
 
-// Guards against a checker that accepts everything: each broken variant of the rule must exceed the bound.
-TEST_CASE("The window checker notices broken variants of the token rule")
+// Guards against a checker that accepts everything: each injected violation of the token rules must exceed the limit.
+TEST_CASE("The rate checker detects violations of the token rules")
 {
     const auto run = [](Mutant mutant) {
         TokenFleet fleet(3, 2, 1000, 1000, 7);
@@ -131,8 +131,8 @@
     }
 }
 
-// Guards against wrongful refusals: traffic that one exact bucket would admit must run wherever it arrives.
-TEST_CASE("Without faults nothing within the rate is refused wherever the traffic goes")
+// Guards against wrong refusals: calls that one exact bucket would admit must run at whichever instance they arrive.
+TEST_CASE("Without faults no call within the rate is refused at any instance")
 {
     REQUIRE(rc::check("no wrongful refusal", [] {
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -145,13 +145,13 @@
         double level = burst;
         std::uniform_real_distribution<double> unit(0, 1);
         for (int phase = 0; phase < 8; ++phase) {
-            const std::size_t only = fleet.random() % fleet.instances.size();
-            const bool moved = phase % 2 == 0;
+            const std::size_t chosen = fleet.random() % fleet.instances.size();
+            const bool atOneInstance = phase % 2 == 0;
             for (int i = 0; i < 100; ++i) {
                 const double cost = std::max(1.0, std::floor(unit(fleet.random) * largest * burst));
                 if (cost <= level && unit(fleet.random) < 0.3) {
                     level -= cost;
-                    fleet.call(moved ? only : fleet.random() % fleet.instances.size(), cost, cost, seconds(1));
+                    fleet.call(atOneInstance ? chosen : fleet.random() % fleet.instances.size(), cost, cost, seconds(1));
                 }
                 fleet.advance(milliseconds(10));
                 level = std::min(burst, level + rate * 0.01);
