--- a/include/mimosahollow/allowance/quotacache.h
+++ b/include/mimosahollow/allowance/quotacache.h
@@ -13,8 +13,8 @@
 struct QuotaCacheOptions
 {
     /**
-     * Tokens are held for the demand of this time. They can be spent one window after the one they were granted in, so that the
-     * tolerance of 10% of a window of 8 s bounds them.
+     * Tokens are held for the demand of this time. They may be spent in the window after the one they were granted in, so the time is
+     * limited by the tolerated excess of 10% of a window of 8 s.
      */
     Duration reserve = milliseconds(400);
     Duration history = seconds(8); /**< Spending of this time is kept for a new leader; equals the window of the rate limiter. */
@@ -55,7 +55,7 @@
 /** Spends @p tokens for a call. Returns false and spends nothing when fewer are held. */
 [[nodiscard]] bool spend(QuotaCache &cache, std::string_view organisation, double tokens, TimePoint now);
 
-/** Returns the tokens of a call that has not run to the cache. */
+/** Puts the tokens of a call that has not run back into the cache. */
 void refund(QuotaCache &cache, std::string_view organisation, double tokens);
 
 /** Adds tokens granted by the leader; the lifetime of all held tokens starts again at @p now. */
