--- a/src/control/audit.cpp
+++ b/src/control/audit.cpp
@@ -18,13 +18,14 @@
     crypto_generichash_update(&hash, bytes.data(), bytes.size());
 }
 
-/** With its length, so that text cannot move from one field to the next. */
+/** Hashes the length before the text, so that moving characters between adjacent fields changes the hash. */
 void addText(crypto_generichash_state &hash, std::string_view text)
 {
     addNumber(hash, text.size());
     crypto_generichash_update(&hash, reinterpret_cast<const std::uint8_t *>(text.data()), text.size());
 }
 
+/** Hash of @p record, chained to the hash of the previous record, @p before. */
 Digest recordHash(const Digest &before, const AuditRecord &record)
 {
     crypto_generichash_state hash;
--- a/src/control/bundleapply.cpp
+++ b/src/control/bundleapply.cpp
@@ -25,11 +25,12 @@
     return "version " + std::to_string(record.version) + " by " + record.author + " with hash " + hexadecimal(record.hash);
 }
 
-CommandResult conflict(const ControlState &state, Version wanted)
+/** The message refers to the accepted bundle with version @p newVersion, or else to the bundle in force. */
+CommandResult conflict(const ControlState &state, Version newVersion)
 {
     const Version inForce = state.configuration.version;
-    const auto found = std::find_if(state.bundles.begin(), state.bundles.end(), [wanted](const BundleRecord &record) {
-        return record.version == wanted;
+    const auto found = std::find_if(state.bundles.begin(), state.bundles.end(), [newVersion](const BundleRecord &record) {
+        return record.version == newVersion;
     });
     std::string message = "version " + std::to_string(inForce) + " is in force";
     if (found != state.bundles.end()) {
@@ -40,14 +41,14 @@
     return failed(CommandOutcome::VersionConflict, std::move(message), inForce);
 }
 
-/** Builds the configuration in force from the bundle and from what operators changed outside of bundles. */
+/** Merges a bundle with the changes that operators made outside of bundles into the next configuration. */
 struct BundleMerge
 {
     ControlState &state;
     const Configuration &bundle;
     Configuration next;
-    std::map<DomainId, DomainId> domains; /**< From the ids within the bundle. */
-    std::map<OrganisationId, OrganisationId> organisations;
+    std::map<DomainId, DomainId> domains; /**< Bundle-local id to id in force. */
+    std::map<OrganisationId, OrganisationId> organisations; /**< Bundle-local id to id in force. */
 
     template<typename Id>
     static Id findOrAssignId(std::map<std::string, Id> &ids, const std::string &name)
@@ -216,10 +217,10 @@
     if (!command.configuration) {
         return failed(CommandOutcome::Invalid, "the bundle is empty");
     }
-    const Version wanted = command.configuration->version;
+    const Version newVersion = command.configuration->version;
     const Version inForce = state.configuration.version;
-    if (command.expectedVersion != inForce || wanted <= inForce) {
-        return conflict(state, wanted);
+    if (command.expectedVersion != inForce || newVersion <= inForce) {
+        return conflict(state, newVersion);
     }
     BundleMerge merge{state, *command.configuration, {}, {}, {}};
     merge.mergeDomains();
@@ -232,11 +233,11 @@
     Increment increment = difference(state.configuration, merge.next);
     state.configuration = std::move(merge.next);
     finishIncrement(state, std::move(increment));
-    state.bundles.push_back({wanted, state.appliedIndex, state.time, command.author, command.approver, command.hash});
+    state.bundles.push_back({newVersion, state.appliedIndex, state.time, command.author, command.approver, command.hash});
     while (state.bundles.size() > state.limits.maximumBundles) {
         state.bundles.pop_front();
     }
-    return accepted(wanted);
+    return accepted(newVersion);
 }
 
 } // namespace mimosahollow::control
--- a/src/control/bundledifference.cpp
+++ b/src/control/bundledifference.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/** Fields of one element by their names, in the order in which they are shown. */
+/** Names and values of the fields of one element, in display order. */
 using Fields = std::vector<std::pair<std::string, std::string>>;
+/** Elements by their display name. */
 using Elements = std::map<std::string, Fields>;
 
 std::string text(double number)
@@ -24,7 +25,7 @@
     return flag ? "yes" : "no";
 }
 
-/** Names of one configuration, because ids differ between a bundle and the state in force. */
+/** Maps the ids of one configuration to names: a bundle and the configuration in force use different ids for the same element. */
 struct Names
 {
     std::map<OrganisationId, std::string> organisations;
@@ -82,7 +83,7 @@
             {"rate", text(organisation.rate)}, {"burst", text(organisation.burst)}, {"weight", text(organisation.weight)}};
     }
     for (const ApiKey &key : configuration.keys) {
-        // The whole hash: a changed key under the same name must not escape the approver.
+        // Shows the whole hash, so that the approver sees every change of a key that keeps its name.
         std::ostringstream hash;
         for (const std::uint8_t byte : key.hash) {
             hash << std::hex << (byte >> 4) << (byte & 15);
@@ -107,7 +108,7 @@
     return elements;
 }
 
-/** "rate 10 -> 20, weight 1 -> 2"; empty when nothing changed. Both have the same fields. */
+/** For example "rate 10 -> 20, weight 1 -> 2"; empty when no field changed. Both lists must contain the same fields. */
 std::string changedFields(const Fields &before, const Fields &after)
 {
     std::string result;
@@ -119,6 +120,7 @@
     return result;
 }
 
+/** For example ": rate 10, burst 100". */
 std::string allFields(const Fields &fields)
 {
     std::string result;
--- a/src/control/calls.cpp
+++ b/src/control/calls.cpp
@@ -4,15 +4,19 @@
 
 namespace {
 
-/** A call whose instance is gone, or that is past every deadline, may have run: nobody will report its answer. */
+/**
+ * Sets the outcome of a call in progress to unknown when its entry instance is no longer registered or when it is past every deadline. The call
+ * may have run, and no instance will report its response.
+ */
 void markLostCall(const ControlState &state, CallRecord &record)
 {
-    const bool tooOld = state.time - record.startTime > state.limits.maximumCallDuration;
-    if (record.state == CallState::InProgress && (tooOld || !isRegistered(state, record.entryInstance))) {
+    const bool pastDeadline = state.time - record.startTime > state.limits.maximumCallDuration;
+    if (record.state == CallState::InProgress && (pastDeadline || !isRegistered(state, record.entryInstance))) {
         record.state = CallState::OutcomeUnknown;
     }
 }
 
+/** Result of a BeginCall whose key already has a record. */
 CommandResult resultForRecord(const CommandId &id, const BeginCall &command, const CallRecord &record)
 {
     if (record.requestHash != command.requestHash) {
@@ -26,7 +30,7 @@
     case CallState::InProgress:
         break;
     }
-    // The instance resends its own command after a lost answer; it has not started the call yet.
+    // The entry instance resends its command when the first result was lost. It has not started the call yet.
     if (record.beginId == id && record.entryInstance == command.entryInstance) {
         return {CommandOutcome::RunCall, {}, 0, {}};
     }
@@ -40,6 +44,7 @@
     record.contentType = std::string();
 }
 
+/** Evicts the oldest responses until the total is within its limit. */
 void evictResponses(ControlState &state)
 {
     while (state.responseBytes > state.limits.maximumTotalResponseBytes && !state.responseOrder.empty()) {
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -24,11 +24,11 @@
 
 AdapterId findOrAssignAdapterId(ControlState &state, const std::string &name)
 {
-    const auto [place, isNew] = state.adapterIds.try_emplace(name, AdapterId{});
+    const auto [position, isNew] = state.adapterIds.try_emplace(name, AdapterId{});
     if (isNew) {
-        place->second = static_cast<AdapterId>(++state.lastAdapterId);
+        position->second = static_cast<AdapterId>(++state.lastAdapterId);
     }
-    return place->second;
+    return position->second;
 }
 
 bool isRegistered(const ControlState &state, InstanceId instance)
@@ -154,7 +154,7 @@
     return accepted();
 }
 
-/** Puts @p adapter in force; @p increment tells followers. */
+/** Adds or replaces @p adapter in the configuration in force and adds the change to @p increment. */
 void insertOrReplaceAdapter(ControlState &state, const Adapter &adapter, Increment &increment)
 {
     auto &list = state.configuration.adapters;
@@ -162,13 +162,13 @@
     if (appendOrReplaceAdapter(list, adapter)) {
         return;
     }
-    // An adapter that was removed by a bundle comes back with its old number, in the middle of the list.
+    // An adapter that an earlier bundle removed keeps its old id, so it has to be inserted before the end of the list.
     ChunkedList<Adapter> next;
-    bool placed = false;
+    bool inserted = false;
     for (const Adapter &other : list) {
-        if (!placed && adapter.id < other.id) {
+        if (!inserted && adapter.id < other.id) {
             next.push_back(adapter);
-            placed = true;
+            inserted = true;
         }
         next.push_back(other);
     }
@@ -240,7 +240,7 @@
         if (old->incarnation == command.incarnation && old->address == command.address && old->domain == domain->id) {
             return accepted(number(old->id));
         }
-        // A restarted process knows nothing of the calls and grants of the one before.
+        // A restarted process has no state of the calls and grants of its predecessor, so it gets a new id.
         increment.instances.removed.push_back(old->id);
         removeElement(state.configuration.instances, InstanceId(old->id));
     }
@@ -264,7 +264,7 @@
     return accepted();
 }
 
-/** Common part of pools and bucket owners. */
+/** Shared by AssignPool and AssignBucketOwner. */
 template<typename Assignment, typename Changes>
 CommandResult assign(ControlState &state, Assignment *assignment, InstanceId owner, FencingNumber expected, Changes Increment::*changes)
 {
@@ -278,7 +278,7 @@
         return failed(CommandOutcome::VersionConflict, "the fencing number is another one", assignment->fencing);
     }
     assignment->owner = owner;
-    // The log index is unique and grows, and tells since when the assignment holds.
+    // The log index serves as fencing number: it is unique, increases, and records when the assignment was made.
     state.lastFencingNumber = state.appliedIndex;
     assignment->fencing = state.lastFencingNumber;
     Increment increment = startIncrement(state);
@@ -331,6 +331,7 @@
     return (std::holds_alternative<Bodies>(body) || ...);
 }
 
+/** Removes the oldest results beyond the limits on age and number. */
 void expireResults(ControlState &state)
 {
     while (!state.resultOrder.empty()) {
@@ -351,7 +352,7 @@
     state.time = std::max(state.time, command.time);
     expireCalls(state);
     expireResults(state);
-    // The record of a call gives the answer to a resend; a table of results would double it.
+    // Resent call commands are answered from the call record; storing their results too would duplicate it.
     if (isOneOf<BeginCall, CompleteCall, AbandonCall>(command.body)) {
         return execute(state, command);
     }
--- a/src/control/distribution.cpp
+++ b/src/control/distribution.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+/** Number of changed and removed keys, adapters and servers, the types with many elements. */
 std::size_t elementCount(const Increment &increment)
 {
     return increment.keys.changed.size() + increment.keys.removed.size() + increment.adapters.changed.size() + increment.adapters.removed.size()
--- a/src/control/increment.cpp
+++ b/src/control/increment.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Both lists are in the order of their keys. */
+/** Finds the changes in one pass; both lists must be sorted by key. */
 template<typename List, typename Element, typename Key>
 void findChanges(const List &before, const List &after, ElementChanges<Element, Key> &changes)
 {
@@ -33,6 +33,7 @@
     }
 }
 
+/** Adds the changes of @p second to @p first. */
 template<typename Element, typename Key>
 void composeChanges(ElementChanges<Element, Key> &first, const ElementChanges<Element, Key> &second)
 {
@@ -68,7 +69,7 @@
     }
 }
 
-/** More changes than this in one increment cost less when the whole list is made anew. */
+/** With more changes than this, rebuilding the whole list is cheaper than changing it in place. */
 constexpr std::size_t maximumInPlaceChanges = 64;
 
 void applyAdapterChanges(ChunkedList<Adapter> &list, const ElementChanges<Adapter, AdapterId> &changes)
@@ -77,10 +78,10 @@
         return;
     }
     if (changes.removed.empty() && changes.changed.size() <= maximumInPlaceChanges) {
-        const bool put = std::all_of(changes.changed.begin(), changes.changed.end(), [&list](const Adapter &adapter) {
+        const bool applied = std::all_of(changes.changed.begin(), changes.changed.end(), [&list](const Adapter &adapter) {
             return appendOrReplaceAdapter(list, adapter);
         });
-        if (put) {
+        if (applied) {
             return;
         }
     }
--- a/src/control/signedbundle.cpp
+++ b/src/control/signedbundle.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Each role signs its own text, so that one signature cannot stand in for the other.
+// Domain separation: the signature of one role is never valid for the other.
 constexpr std::string_view authorContext = "mimosahollow bundle author 1";
 constexpr std::string_view approverContext = "mimosahollow bundle approver 1";
 
@@ -21,7 +21,7 @@
     }
 }
 
-/** With its length, so that text cannot move from one field to the next. */
+/** Prefixes the field with its length, so that moving characters between adjacent fields invalidates the signature. */
 void addText(std::string &text, std::string_view field)
 {
     addNumber(text, field.size());
@@ -98,7 +98,7 @@
     return result == 0 && size == Size && end == text.data() + text.size();
 }
 
-/** Reads the fields of a packed bundle; the first problem is kept. */
+/** Reads the fields of a serialized bundle; @c error is the first error. */
 struct BundleReader
 {
     const boost::json::object &object;
--- a/src/control/snapshot.cpp
+++ b/src/control/snapshot.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::uint64_t snapshotMagic = 0x45544154534C484DULL; // "MHLSTATE" in a file
-/** 1,000,000 calls with a key each, 93,000 adapters twice, 100,000 results and audit records, with room to spare. */
+constexpr std::uint64_t snapshotMagic = 0x45544154534C484DULL; // "MHLSTATE" as little-endian bytes
+/** Limit for the verifier. Allows 1,000,000 calls with a key each, 93,000 adapters twice, and 100,000 results and audit records, with a margin. */
 constexpr flatbuffers::uoffset_t maximumTables = 16'000'000;
 
 struct SnapshotHeader
@@ -20,7 +20,7 @@
     std::uint64_t magic = snapshotMagic;
     std::uint32_t format = snapshotFormatVersion;
     std::uint32_t reserved = 0;
-    std::uint64_t checksum = 0; /**< XXH3 of the rest. */
+    std::uint64_t checksum = 0; /**< XXH3 of the content after the header. */
 };
 
 const wire::CommandId packId(const CommandId &id)
@@ -82,26 +82,26 @@
 struct PackedCalls
 {
     Offset<WireTables<wire::Call>> calls;
-    Offset<WireVector<std::uint32_t>> answers;
+    Offset<WireVector<std::uint32_t>> answers; /**< Positions in @c calls of the records with a stored response, oldest first. */
 };
 
 PackedCalls packCalls(Builder &builder, const ControlState &state)
 {
     std::vector<Offset<wire::Call>> calls;
     std::map<CallKey, std::uint32_t> positions;
-    const auto present = [&state](const auto &element) {
+    const auto findRecord = [&state](const auto &element) {
         const auto found = state.calls.find(element.first);
         return found != state.calls.end() && found->second.beginId == element.second ? &found->second : nullptr;
     };
     for (const auto &element : state.callOrder) {
-        if (const CallRecord *record = present(element)) {
+        if (const CallRecord *record = findRecord(element)) {
             positions.emplace(element.first, static_cast<std::uint32_t>(calls.size()));
             calls.push_back(packCall(builder, element.first, *record));
         }
     }
     std::vector<std::uint32_t> answers;
     for (const auto &element : state.responseOrder) {
-        const CallRecord *record = present(element);
+        const CallRecord *record = findRecord(element);
         if (record != nullptr && record->state == CallState::Completed) {
             answers.push_back(positions.at(element.first));
         }
@@ -152,7 +152,7 @@
     const auto organisationIds = packNames(builder, state.organisationIds);
     const auto domainIds = packNames(builder, state.domainIds);
     const auto serverIds = packNames(builder, state.serverIds);
-    // Hash tables have no fixed order; equal states must give equal bytes.
+    // Sorted, because a hash table has no defined order and equal states must produce equal bytes.
     const auto adapterIds = packNames(builder, std::map<std::string, AdapterId>(state.adapterIds.begin(), state.adapterIds.end()));
     const auto poolIds = packAll<wire::PoolName>(builder, state.poolIds, [&builder](const auto &element) {
         const auto kind = builder.CreateString(element.first.second);
--- a/src/control/wire.cpp
+++ b/src/control/wire.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Names of the base models of adapters, stored once each. */
+/** String table: adapters refer to their base models by number, so that each name is stored once. */
 struct BaseNames
 {
     std::map<std::string, std::uint16_t, std::less<>> numbers;
@@ -14,11 +14,11 @@
 
     std::uint16_t numberOf(const std::string &name)
     {
-        const auto [place, isNew] = numbers.try_emplace(name, static_cast<std::uint16_t>(names.size()));
+        const auto [position, isNew] = numbers.try_emplace(name, static_cast<std::uint16_t>(names.size()));
         if (isNew) {
             names.push_back(name);
         }
-        return place->second;
+        return position->second;
     }
 };
 
@@ -116,9 +116,9 @@
 
 void unpack(WireReader &reader, const wire::Route &table, Route &route)
 {
-    // Longer than any deadline; a larger number would overflow in nanoseconds.
-    constexpr std::int64_t longest = 3'600'000'000;
-    reader.failed = reader.failed || table.deadline_us() < 0 || table.deadline_us() > longest;
+    // Longer than any deadline; much larger values would overflow when converted to nanoseconds.
+    constexpr std::int64_t maximumDeadline = 3'600'000'000;
+    reader.failed = reader.failed || table.deadline_us() < 0 || table.deadline_us() > maximumDeadline;
     if (reader.failed) {
         return;
     }
--- a/tests/control/codec.cpp
+++ b/tests/control/codec.cpp
@@ -69,8 +69,8 @@
 
 } // namespace
 
-// Guards against fields that are lost between two instances.
-TEST_CASE("messages keep their content")
+// Guards against fields that one side encodes and the other does not decode.
+TEST_CASE("messages survive an encoding round trip")
 {
     SECTION("commands")
     {
@@ -121,8 +121,8 @@
     }
 }
 
-// Guards against crashes and out-of-range reads on frames of a broken or hostile peer.
-TEST_CASE("damaged messages are refused or read safely")
+// Guards against crashes and out-of-bounds reads on truncated or corrupt frames of a faulty or malicious peer.
+TEST_CASE("truncated and corrupt messages are rejected or decoded safely")
 {
     constexpr std::uint64_t seed = 20261204;
     INFO("seed " << seed);
--- a/tests/control/signedbundle.cpp
+++ b/tests/control/signedbundle.cpp
@@ -20,8 +20,8 @@
 
 } // namespace
 
-// Guards against a configuration that one operator alone, or nobody with the role, puts in force.
-TEST_CASE("a bundle needs an author and an approver")
+// Guards against a bundle that is accepted with the approval of a single operator, or of one without the required role.
+TEST_CASE("a bundle requires an author and a different approver")
 {
     const KeyPair ann = keyPair(1);
     const KeyPair bob = keyPair(2);
@@ -32,15 +32,15 @@
     SignedBundle bundle = signBundle("version = 2\n", 2, 1, "ann", ann.secretKey);
     REQUIRE(verifyBundle(bundle, operators)->kind == BundleErrorKind::NotApproved);
 
-    SECTION("two operators with their roles")
+    SECTION("two operators with the required roles")
     {
         approveBundle(bundle, "bob", bob.secretKey);
         REQUIRE_FALSE(verifyBundle(bundle, operators));
-        const SignedBundle again = std::get<SignedBundle>(unpackBundle(packBundle(bundle)));
-        REQUIRE_FALSE(verifyBundle(again, operators));
-        REQUIRE(again.text == bundle.text);
+        const SignedBundle restored = std::get<SignedBundle>(unpackBundle(packBundle(bundle)));
+        REQUIRE_FALSE(verifyBundle(restored, operators));
+        REQUIRE(restored.text == bundle.text);
 
-        SECTION("nothing of it can be changed")
+        SECTION("any change invalidates the signatures")
         {
             SignedBundle changed = bundle;
             changed.text += "#";
@@ -58,7 +58,7 @@
             REQUIRE(verifyBundle(changed, operators)->kind == BundleErrorKind::WrongSignature);
         }
     }
-    SECTION("the same operator twice, by name or by key")
+    SECTION("author and approver with the same name or key")
     {
         approveBundle(bundle, "ann", ann.secretKey);
         REQUIRE(verifyBundle(bundle, operators)->kind == BundleErrorKind::SameOperator);
@@ -73,14 +73,14 @@
         approveBundle(other, "ann", ann.secretKey);
         REQUIRE(verifyBundle(other, operators)->kind == BundleErrorKind::WrongRole);
     }
-    SECTION("somebody else's name")
+    SECTION("a signature by another key, or by an unknown operator")
     {
         approveBundle(bundle, "bob", keyPair(3).secretKey);
         REQUIRE(verifyBundle(bundle, operators)->kind == BundleErrorKind::WrongSignature);
         approveBundle(bundle, "nobody", bob.secretKey);
         REQUIRE(verifyBundle(bundle, operators)->kind == BundleErrorKind::UnknownOperator);
     }
-    SECTION("a damaged file")
+    SECTION("a truncated file")
     {
         const std::string packed = packBundle(bundle);
         for (std::size_t size = 0; size < packed.size(); ++size) {
@@ -90,8 +90,8 @@
     }
 }
 
-// Guards against a difference that hides a change from the approver.
-TEST_CASE("two bundles are compared by name")
+// Guards against changes that are missing from the difference shown to the approver.
+TEST_CASE("bundle differences match elements by name")
 {
     const std::string start = "version = 1\nbase_models = [\"base\"]\n"
                               "[[domain]]\nname = \"a\"\nshare = 1.0\n"
--- a/tests/control/statemachine.cpp
+++ b/tests/control/statemachine.cpp
@@ -11,7 +11,7 @@
 constexpr std::int64_t second = 1000; // milliseconds
 constexpr std::int64_t hour = 3600 * second;
 
-/** A state machine with its own log. */
+/** Applies commands with consecutive log indexes to one state. */
 struct Machine
 {
     ControlState state;
@@ -25,7 +25,7 @@
         return rerun(std::move(body));
     }
 
-    /** Under the command id of the last run(). */
+    /** Applies @p body under the command id of the last run(). */
     CommandResult rerun(CommandBody body)
     {
         return apply(state, state.appliedIndex + 1, {id, time, "operator", std::move(body)});
@@ -46,9 +46,9 @@
     return bundle;
 }
 
-ApplyBundle command(Version expected, Configuration bundle, const std::string &author = "ann")
+ApplyBundle bundleCommand(Version expectedVersion, Configuration bundle, const std::string &author = "ann")
 {
-    return {expected, std::make_shared<const Configuration>(std::move(bundle)), author, "bob", Digest{9}};
+    return {expectedVersion, std::make_shared<const Configuration>(std::move(bundle)), author, "bob", Digest{9}};
 }
 
 template<typename List>
@@ -73,49 +73,49 @@
 
 } // namespace
 
-// Guards against two configurations under one version, and ids that change their meaning.
-TEST_CASE("a bundle comes into force")
+// Guards against two different configurations with the same version, and against ids that are reused for other names.
+TEST_CASE("applying a bundle")
 {
     Machine machine;
-    REQUIRE(machine.run(command(0, smallBundle(1))).outcome == CommandOutcome::Accepted);
+    REQUIRE(machine.run(bundleCommand(0, smallBundle(1))).outcome == CommandOutcome::Accepted);
     REQUIRE(machine.state.configuration.version == 1);
     REQUIRE(machine.state.configuration.pools.size() == 2);
 
-    SECTION("the second of two bundles gets a conflict that names the first")
+    SECTION("a second bundle for the same version is rejected, and the message names the accepted one")
     {
-        const CommandResult result = machine.run(command(0, smallBundle(1), "eve"));
+        const CommandResult result = machine.run(bundleCommand(0, smallBundle(1), "eve"));
         REQUIRE(result.outcome == CommandOutcome::VersionConflict);
         REQUIRE(result.number == 1);
         REQUIRE(result.message.find("version 1 by ann with hash 0900") != std::string::npos);
     }
-    SECTION("a version never goes back")
+    SECTION("the version cannot decrease")
     {
-        REQUIRE(machine.run(command(1, smallBundle(5))).outcome == CommandOutcome::Accepted);
-        REQUIRE(machine.run(command(5, smallBundle(3))).outcome == CommandOutcome::VersionConflict);
+        REQUIRE(machine.run(bundleCommand(1, smallBundle(5))).outcome == CommandOutcome::Accepted);
+        REQUIRE(machine.run(bundleCommand(5, smallBundle(3))).outcome == CommandOutcome::VersionConflict);
         REQUIRE(machine.state.configuration.version == 5);
     }
-    SECTION("names keep their numbers, and numbers are not given again")
+    SECTION("names keep their ids, and ids are not reused")
     {
         Configuration next = smallBundle(2);
         next.organisations.erase(next.organisations.begin());
         next.organisations.push_back({OrganisationId{3}, "three", 1, 1, 1});
         next.keys = {{"k2", KeyHash{2}, OrganisationId{2}}, {"k3", KeyHash{3}, OrganisationId{3}}};
         next.adapters = {{AdapterId{1}, "base", "other", "1", true, {OrganisationId{3}}}};
-        REQUIRE(machine.run(command(1, next)).outcome == CommandOutcome::Accepted);
+        REQUIRE(machine.run(bundleCommand(1, next)).outcome == CommandOutcome::Accepted);
         REQUIRE(machine.state.configuration.organisations[0].id == OrganisationId{2});
         REQUIRE(machine.state.configuration.organisations[1].id == OrganisationId{3});
         REQUIRE(machine.state.configuration.adapters[0].id == AdapterId{2});
         REQUIRE(machine.state.configuration.adapters[0].organisations == std::vector{OrganisationId{3}});
-        SECTION("an adapter that comes back has its old number and place")
+        SECTION("a removed adapter that is declared again gets its old id and position")
         {
             Configuration back = smallBundle(3);
             back.adapters = {{AdapterId{1}, "base", "other", "1", true, {}}, {AdapterId{2}, "base", "greeting", "1", true, {}}};
-            REQUIRE(machine.run(command(2, back)).outcome == CommandOutcome::Accepted);
+            REQUIRE(machine.run(bundleCommand(2, back)).outcome == CommandOutcome::Accepted);
             REQUIRE(names(machine.state.configuration.adapters) == Names{"greeting", "other"});
             REQUIRE(machine.state.configuration.organisations[0].id == OrganisationId{1});
         }
     }
-    SECTION("what operators did outside of bundles stays")
+    SECTION("changes made outside of bundles are kept")
     {
         REQUIRE(machine.run(GrantKey{"granted", "one", KeyHash{8}}).outcome == CommandOutcome::Accepted);
         REQUIRE(machine.run(WithdrawKey{"k1"}).outcome == CommandOutcome::Accepted);
@@ -123,7 +123,7 @@
         REQUIRE(machine.run(SetServerOut{"s1", true}).outcome == CommandOutcome::Accepted);
         REQUIRE(machine.run(PublishAdapter{"base", "greeting", "2", true, {"two"}}).number == 2);
         REQUIRE_FALSE(machine.state.configuration.adapters[0].isDefault);
-        REQUIRE(machine.run(command(1, smallBundle(2))).outcome == CommandOutcome::Accepted);
+        REQUIRE(machine.run(bundleCommand(1, smallBundle(2))).outcome == CommandOutcome::Accepted);
         const Configuration &now = machine.state.configuration;
         REQUIRE(names(now.keys) == Names{"k2", "granted"});
         REQUIRE(now.domains[1].outOfService);
@@ -131,21 +131,21 @@
         REQUIRE(now.adapters.size() == 2);
         REQUIRE(now.adapters[0].isDefault);
         REQUIRE_FALSE(now.adapters[1].isDefault);
-        SECTION("and can be undone")
+        SECTION("a failure domain can be put back into service")
         {
             REQUIRE(machine.run(SetDomainOut{"b", false}).outcome == CommandOutcome::Accepted);
             REQUIRE_FALSE(machine.state.configuration.domains[1].outOfService);
         }
-        SECTION("but a withdrawn key never comes back")
+        SECTION("a withdrawn key cannot be granted again")
         {
             REQUIRE(machine.run(GrantKey{"again", "one", KeyHash{1}}).outcome == CommandOutcome::Invalid);
         }
     }
-    SECTION("a domain that the bundle takes out is not put in by undoing a mark")
+    SECTION("an operator cannot put back a failure domain that the bundle declares out of service")
     {
         Configuration next = smallBundle(2);
         next.domains[0].outOfService = true;
-        machine.run(command(1, next));
+        machine.run(bundleCommand(1, next));
         machine.run(SetDomainOut{"a", false});
         REQUIRE(machine.state.configuration.domains[0].outOfService);
     }
@@ -159,27 +159,27 @@
     }
 }
 
-// Guards against a resend that is carried out twice or gets another answer.
-TEST_CASE("a command id gives the same result again")
+// Guards against a resent command that is applied twice or returns a different result.
+TEST_CASE("a resent command returns the stored result")
 {
     Machine machine;
-    machine.run(command(0, smallBundle(1)));
+    machine.run(bundleCommand(0, smallBundle(1)));
     const CommandResult first = machine.run(WithdrawKey{"k1"});
     REQUIRE(machine.rerun(WithdrawKey{"k1"}) == first);
     REQUIRE(machine.rerun(SetDomainOut{"a", true}).outcome == CommandOutcome::IdReused);
     REQUIRE(machine.state.audit.records.size() == 2);
 
-    SECTION("also after a snapshot")
+    SECTION("after a snapshot is restored")
     {
         machine.state = std::get<ControlState>(decodeSnapshot(encodeSnapshot(machine.state)));
         REQUIRE(machine.rerun(WithdrawKey{"k1"}) == first);
     }
-    SECTION("until it is too old")
+    SECTION("until the retention period has passed")
     {
         machine.time += 25 * hour;
         REQUIRE(machine.rerun(WithdrawKey{"k1"}).outcome == CommandOutcome::NotFound);
     }
-    SECTION("the table is bounded")
+    SECTION("the number of stored results is limited")
     {
         machine.state.limits.maximumResults = 10;
         for (int i = 0; i < 100; ++i) {
@@ -190,11 +190,11 @@
     }
 }
 
-// Guards against a stale leader that hands out a pool again, and fencing numbers that repeat.
-TEST_CASE("pools are assigned under growing fencing numbers")
+// Guards against a pool that is assigned twice because of an outdated view, and against repeated fencing numbers.
+TEST_CASE("each assignment of a pool gets a higher fencing number")
 {
     Machine machine;
-    machine.run(command(0, smallBundle(1)));
+    machine.run(bundleCommand(0, smallBundle(1)));
     const auto registered = machine.run(RegisterInstance{"i1", "a", "10.0.1.1:7000", 11});
     REQUIRE(registered.number == 1);
     REQUIRE(machine.run(RegisterInstance{"i1", "a", "10.0.1.1:7000", 11}).number == 1);
@@ -217,11 +217,11 @@
     REQUIRE(machine.run(RemoveInstance{InstanceId{2}}).outcome == CommandOutcome::NotFound);
 }
 
-// Guards against a call that may not repeat and runs twice (P11), and against answers of other requests.
+// Guards against a non-repeatable call that runs twice (P11), and against returning the response of a different request.
 TEST_CASE("idempotency records")
 {
     Machine machine;
-    machine.run(command(0, smallBundle(1)));
+    machine.run(bundleCommand(0, smallBundle(1)));
     const auto one = static_cast<InstanceId>(machine.run(RegisterInstance{"i1", "a", "x", 1}).number);
     const auto two = static_cast<InstanceId>(machine.run(RegisterInstance{"i2", "a", "y", 2}).number);
     const CallKey call{OrganisationId{1}, "/ledger/", "abc"};
@@ -234,14 +234,14 @@
     REQUIRE(machine.run(BeginCall{call, Digest{2}, two}).outcome == CommandOutcome::CallConflict);
     REQUIRE(machine.run(BeginCall{{OrganisationId{2}, "/ledger/", "abc"}, Digest{1}, two}).outcome == CommandOutcome::RunCall);
 
-    SECTION("a stored answer")
+    SECTION("a stored response")
     {
         REQUIRE(machine.run(CompleteCall{call, {1, 1}, 200, "text/plain", "wrong"}).outcome == CommandOutcome::NotFound);
         REQUIRE(machine.run(CompleteCall{call, started, 201, "text/plain", "done"}).outcome == CommandOutcome::Accepted);
         const CommandResult stored = machine.run(resend);
         REQUIRE(stored == CommandResult{CommandOutcome::StoredResponse, "text/plain", 201, "done"});
         REQUIRE(machine.run(AbandonCall{call, started}).outcome == CommandOutcome::Invalid);
-        SECTION("is kept for a day")
+        SECTION("is kept for 24 hours")
         {
             machine.time += 24 * hour - second;
             REQUIRE(machine.run(resend).outcome == CommandOutcome::StoredResponse);
@@ -249,7 +249,7 @@
             REQUIRE(machine.run(resend).outcome == CommandOutcome::RunCall);
             REQUIRE(machine.state.responseBytes == 0);
         }
-        SECTION("gives way to newer ones and is unknown then")
+        SECTION("is evicted by newer ones, which makes the outcome unknown")
         {
             machine.state.limits.maximumTotalResponseBytes = 10;
             machine.run(BeginCall{{OrganisationId{1}, "/ledger/", "new"}, Digest{1}, one});
@@ -258,7 +258,7 @@
             REQUIRE(machine.state.responseBytes == 8);
         }
     }
-    SECTION("an answer that is too long is unknown")
+    SECTION("the outcome is unknown when the response is too long to store")
     {
         REQUIRE(machine.run(CompleteCall{call, started, 200, "", std::string(64 * 1024 + 1, 'x')}).outcome == CommandOutcome::Accepted);
         REQUIRE(machine.run(resend).outcome == CommandOutcome::CallOutcomeUnknown);
@@ -281,29 +281,29 @@
         machine.time += second;
         REQUIRE(machine.run(resend).outcome == CommandOutcome::CallOutcomeUnknown);
     }
-    SECTION("a call that did not run may be begun again")
+    SECTION("an abandoned call can be begun again")
     {
         REQUIRE(machine.run(AbandonCall{call, started}).outcome == CommandOutcome::Accepted);
         REQUIRE(machine.run(resend).outcome == CommandOutcome::RunCall);
         REQUIRE(machine.run(CompleteCall{call, started, 200, "", "late"}).outcome == CommandOutcome::NotFound);
     }
-    SECTION("a full table refuses instead of forgetting")
+    SECTION("a full table rejects new calls and evicts none")
     {
         machine.state.limits.maximumCalls = 2;
         REQUIRE(machine.run(BeginCall{{OrganisationId{1}, "/ledger/", "more"}, Digest{1}, one}).outcome == CommandOutcome::TooManyCalls);
     }
-    SECTION("a removed instance may not begin one")
+    SECTION("an instance that is not registered cannot begin a call")
     {
         REQUIRE(machine.run(BeginCall{{OrganisationId{1}, "/l/", "z"}, Digest{}, InstanceId{77}}).outcome == CommandOutcome::Invalid);
     }
 }
 
-// Guards against an audit log that can be changed afterwards, and one that grows without end.
+// Guards against undetected changes of the audit log, and against its unlimited growth.
 TEST_CASE("the audit log is a hash chain")
 {
     Machine machine;
     machine.state.limits.maximumAuditRecords = 5;
-    machine.run(command(0, smallBundle(1)));
+    machine.run(bundleCommand(0, smallBundle(1)));
     for (int i = 0; i < 9; ++i) {
         machine.run(SetRate{"one", 5, 5});
     }
@@ -318,15 +318,15 @@
     REQUIRE(firstBrokenRecord(log) == 7);
 }
 
-// Guards against a follower whose configuration differs from that of the voters.
-TEST_CASE("followers follow by increments")
+// Guards against a follower whose configuration diverges from that of the voters when it applies increments.
+TEST_CASE("followers catch up by increments")
 {
     Machine machine;
     constexpr std::uint64_t seed = 20261204;
     std::mt19937_64 random(seed);
     INFO("seed " << seed);
     std::shared_ptr<const Configuration> follower = sharedConfiguration(machine.state);
-    std::shared_ptr<const Configuration> slow = follower;
+    std::shared_ptr<const Configuration> laggingFollower = follower;
     Version version = 0;
     for (int round = 0; round < 400; ++round) {
         CAPTURE(round);
@@ -337,7 +337,7 @@
             for (std::uint32_t i = 0; i < random() % 9; ++i) {
                 next.adapters.push_back({static_cast<AdapterId>(10 + i), "base", "n" + std::to_string(random() % 20), std::to_string(i), false, {}});
             }
-            version += machine.run(command(version, next)).outcome == CommandOutcome::Accepted ? 1 : 0;
+            version += machine.run(bundleCommand(version, next)).outcome == CommandOutcome::Accepted ? 1 : 0;
             break;
         }
         case 1:
@@ -367,19 +367,19 @@
         follower = std::get<std::shared_ptr<const Configuration>>(applyIncrement(*follower, *change));
         REQUIRE(sameConfiguration(*follower, machine.state.configuration));
         if (round % 10 == 9) {
-            const auto all = changesSince(machine.state, slow->logIndex);
+            const auto all = changesSince(machine.state, laggingFollower->logIndex);
             REQUIRE(all.has_value());
-            slow = std::get<std::shared_ptr<const Configuration>>(applyIncrement(*slow, *all));
-            REQUIRE(sameConfiguration(*slow, machine.state.configuration));
+            laggingFollower = std::get<std::shared_ptr<const Configuration>>(applyIncrement(*laggingFollower, *all));
+            REQUIRE(sameConfiguration(*laggingFollower, machine.state.configuration));
         }
     }
-    SECTION("an increment fits only the configuration that it starts from")
+    SECTION("an increment applies only to the configuration that it starts from")
     {
         const auto change = changesSince(machine.state, follower->logIndex);
         REQUIRE(std::holds_alternative<IncrementError>(applyIncrement(Configuration{}, *change)));
         REQUIRE_FALSE(changesSince(machine.state, 1'000'000).has_value());
     }
-    SECTION("a snapshot has everything and its damage is noticed")
+    SECTION("a snapshot restores the whole state, and damage is detected")
     {
         const Bytes bytes = encodeSnapshot(machine.state);
         const ControlState copy = std::get<ControlState>(decodeSnapshot(bytes));
