--- a/benchmark/control.cpp
+++ b/benchmark/control.cpp
@@ -203,7 +203,7 @@
         }
     }
 
-    void order(storage::StorageOrder order)
+    void order(storage::StorageWrite order)
     {
         while (!m_writer->tryPush(order)) {
             std::this_thread::yield();
@@ -368,7 +368,7 @@
         const auto files = storage::posixFileSystem();
         auto opened = storage::LogStore::open(*files, folder);
         storage::LogStore &store = *std::get<storage::OpenedLog>(opened).store;
-        std::vector<storage::StorageOrder> orders{SaveVote{1, 1, VoterId{1}}};
+        std::vector<storage::StorageWrite> orders{SaveVote{1, 1, VoterId{1}}};
         for (LogIndex index = 1; index <= changes; ++index) {
             const Command command = index == 1 ? makeCommand(1, ApplyBundle{0, baseBundle(), "a", "b", {}}) : rateChange(index);
             static_cast<void>(apply(state, index, command));
--- a/include/mimosahollow/control/consensus.h
+++ b/include/mimosahollow/control/consensus.h
@@ -63,11 +63,11 @@
 /** Handles the passing of time. Call about every 10 ms. */
 void tick(ConsensusState &state, TimePoint now, ConsensusActions &actions);
 
-/** Brings the next election of a voter that hears no leader forward, to a random time within @p spread. */
-void hurryElection(ConsensusState &state, Duration spread, TimePoint now);
+/** Brings the next election of a voter that hears no leader forward, to a random time within @p maximumDelay. */
+void expediteElection(ConsensusState &state, Duration maximumDelay, TimePoint now);
 
 /** All connections to @p voter are closed. When it leads, this voter no longer counts as one that hears it. */
-void voterDisconnected(ConsensusState &state, VoterId voter, Duration spread, TimePoint now);
+void voterDisconnected(ConsensusState &state, VoterId voter, Duration maximumDelay, TimePoint now);
 
 /** Appends one Command entry for each payload. */
 [[nodiscard]] ProposalResult propose(ConsensusState &state, std::span<const SharedBytes> payloads, TimePoint now, ConsensusActions &actions);
@@ -95,7 +95,7 @@
 void snapshotInstalled(ConsensusState &state, LogIndex index, TimePoint now, ConsensusActions &actions);
 
 /** The snapshot of InstallSnapshot is damaged; the leader sends it again. */
-void snapshotRefused(ConsensusState &state);
+void snapshotRejected(ConsensusState &state);
 
 [[nodiscard]] LogIndex lastIndex(const ConsensusState &state) noexcept;
 
--- a/include/mimosahollow/control/consensusactions.h
+++ b/include/mimosahollow/control/consensusactions.h
@@ -45,7 +45,7 @@
 
 /**
  * A complete snapshot has arrived from the leader. The driver verifies it and stores it (replacing the whole log), loads the
- * state machine from it and then calls snapshotInstalled(), or snapshotRefused() when it is damaged.
+ * state machine from it and then calls snapshotInstalled(), or snapshotRejected() when it is damaged.
  */
 struct InstallSnapshot
 {
@@ -74,13 +74,13 @@
 /** Leadership was confirmed by a majority after requestRead(); entries up to @c index were applied. */
 struct ReadConfirmed
 {
-    std::uint64_t read = 0;
+    std::uint64_t readId = 0;
     LogIndex index = 0;
 };
 
 struct ReadRejected
 {
-    std::uint64_t read = 0;
+    std::uint64_t readId = 0;
 };
 
 using ConsensusAction = std::variant<SendToVoter,
--- a/include/mimosahollow/control/storageorder.h
+++ b/include/mimosahollow/control/storagewrite.h
@@ -16,6 +16,6 @@
 };
 
 /** A write of a voter to its storage; writes are carried out in their order. */
-using StorageOrder = std::variant<SaveVote, AppendLog, TruncateLog, CompactLog, StoreSnapshot>;
+using StorageWrite = std::variant<SaveVote, AppendLog, TruncateLog, CompactLog, StoreSnapshot>;
 
 } // namespace mimosahollow::control
--- a/include/mimosahollow/coordination/actions.h
+++ b/include/mimosahollow/coordination/actions.h
@@ -3,7 +3,7 @@
 #include "mimosahollow/control/command.h"
 #include "mimosahollow/control/configuration.h"
 #include "mimosahollow/control/consensusmessages.h"
-#include "mimosahollow/control/storageorder.h"
+#include "mimosahollow/control/storagewrite.h"
 #include "mimosahollow/membership/distribution.h"
 #include "mimosahollow/membership/heartbeat.h"
 #include "mimosahollow/membership/promise.h"
@@ -34,7 +34,7 @@
     Message message;
 };
 
-using control::StorageOrder;
+using control::StorageWrite;
 using control::StoreSnapshot;
 
 /** This instance has applied a configuration. */
@@ -88,7 +88,7 @@
     std::string text;
 };
 
-using Action = std::variant<SendMessage, StorageOrder, ConfigurationChanged, FreshnessChanged, LeaseChanged, CommandDone, ConnectTo, Notice>;
+using Action = std::variant<SendMessage, StorageWrite, ConfigurationChanged, FreshnessChanged, LeaseChanged, CommandDone, ConnectTo, Notice>;
 using Actions = std::vector<Action>;
 
 } // namespace mimosahollow::coordination
--- a/include/mimosahollow/storage/logstore.h
+++ b/include/mimosahollow/storage/logstore.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "mimosahollow/control/consensus.h"
-#include "mimosahollow/control/storageorder.h"
+#include "mimosahollow/control/storagewrite.h"
 #include "mimosahollow/storage/filesystem.h"
 
 #include <deque>
@@ -28,7 +28,7 @@
     std::string message;
 };
 
-using control::StorageOrder;
+using control::StorageWrite;
 using control::StoreSnapshot;
 
 struct LogStoreOptions
@@ -54,7 +54,7 @@
     ~LogStore();
 
     /** Carries out @p orders in their order. Without an error, all of them are durable on return. */
-    [[nodiscard]] std::optional<StorageError> write(std::span<const StorageOrder> orders);
+    [[nodiscard]] std::optional<StorageError> write(std::span<const StorageWrite> orders);
 
 private:
     struct Impl;
--- a/include/mimosahollow/storage/logwriter.h
+++ b/include/mimosahollow/storage/logwriter.h
@@ -45,7 +45,7 @@
     ~LogWriter();
 
     /** Returns false when the ring is full; the caller keeps the order and tries again. Called by the control thread. */
-    [[nodiscard]] bool tryPush(StorageOrder &order);
+    [[nodiscard]] bool tryPush(StorageWrite &order);
 
 private:
     void run();
@@ -53,7 +53,7 @@
     struct Stop
     {
     };
-    using Element = std::variant<StorageOrder, Stop>;
+    using Element = std::variant<StorageWrite, Stop>;
 
     std::unique_ptr<LogStore> m_store;
     std::function<void(StorageEvent)> m_report;
--- a/src/app/controlthread.cpp
+++ b/src/app/controlthread.cpp
@@ -209,7 +209,7 @@
     if (auto *message = std::get_if<coordination::SendMessage>(&action)) {
         // Every control message is repeated by its protocol when the link cannot take it.
         static_cast<void>(m_ports.sendFrame(message->peer, encodeControlMessage(message->message)));
-    } else if (auto *order = std::get_if<coordination::StorageOrder>(&action)) {
+    } else if (auto *order = std::get_if<coordination::StorageWrite>(&action)) {
         m_storage.write(std::move(*order));
     } else if (auto *changed = std::get_if<coordination::ConfigurationChanged>(&action)) {
         m_nextStatus = {}; // an operator who asks after a change must see it
--- a/src/app/voterstorage.cpp
+++ b/src/app/voterstorage.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t ringOrders = 4096;
 
 /** What a disk would report for @p order, for a fleet of one that keeps nothing. */
-storage::StorageEvent syncedAtOnce(const control::StorageOrder &order)
+storage::StorageEvent syncedAtOnce(const control::StorageWrite &order)
 {
     return std::visit(
         [](const auto &content) -> storage::StorageEvent {
@@ -47,7 +47,7 @@
     return content;
 }
 
-void VoterStorage::write(control::StorageOrder order)
+void VoterStorage::write(control::StorageWrite order)
 {
     if (!m_writer) {
         m_report(syncedAtOnce(order));
--- a/src/app/voterstorage.h
+++ b/src/app/voterstorage.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "mimosahollow/control/consensus.h"
-#include "mimosahollow/control/storageorder.h"
+#include "mimosahollow/control/storagewrite.h"
 #include "mimosahollow/storage/filesystem.h"
 #include "mimosahollow/storage/logwriter.h"
 
@@ -27,7 +27,7 @@
     [[nodiscard]] std::variant<control::DurableLog, std::string> open();
 
     /** Queues an order. Orders that the ring cannot take are kept, in order, until flush(). */
-    void write(control::StorageOrder order);
+    void write(control::StorageWrite order);
     void flush();
 
 private:
@@ -35,7 +35,7 @@
     std::function<void(storage::StorageEvent)> m_report;
     std::unique_ptr<storage::FileSystem> m_files;
     std::unique_ptr<storage::LogWriter> m_writer;
-    std::deque<control::StorageOrder> m_kept; // bounded by the uncommitted entries of the replicated log
+    std::deque<control::StorageWrite> m_kept; // bounded by the uncommitted entries of the replicated log
 };
 
 } // namespace mimosahollow::app
--- a/src/control/consensus.cpp
+++ b/src/control/consensus.cpp
@@ -54,7 +54,7 @@
         tickLeader(state, now, actions);
         return;
     }
-    const bool installing = state.incoming && state.incoming->installing;
+    const bool installing = state.incomingSnapshot && state.incomingSnapshot->installing;
     if (now >= state.electionDeadline && isVoter(state, state.self) && !installing) {
         startPreVote(state, now, actions);
     }
@@ -70,12 +70,12 @@
 ProposalResult appendProposal(ConsensusState &state, std::vector<LogEntry> entries, TimePoint now, ConsensusActions &actions)
 {
     appendToLog(state, std::move(entries), actions);
-    sendToAll(state, now, actions);
+    sendEntriesToAll(state, now, actions);
     return ProposalAccepted{lastIndex(state), state.term};
 }
 
 /** Reason why no membership change may start now. */
-std::optional<ProposalError> changeError(const ConsensusState &state)
+std::optional<ProposalError> membershipChangeError(const ConsensusState &state)
 {
     if (state.role != VoterRole::Leader) {
         return ProposalError::NotLeader;
@@ -101,12 +101,12 @@
         return rejected(state, ProposalError::NotLeader);
     }
     const auto tooLarge = [&state](const SharedBytes &payload) {
-        return payload->size() > state.options.entryBytes;
+        return payload->size() > state.options.maximumEntryBytes;
     };
     if (std::any_of(payloads.begin(), payloads.end(), tooLarge)) {
         return rejected(state, ProposalError::TooLarge);
     }
-    if (lastIndex(state) - state.commitIndex + payloads.size() > state.options.uncommittedEntries) {
+    if (lastIndex(state) - state.commitIndex + payloads.size() > state.options.maximumUncommittedEntries) {
         return rejected(state, ProposalError::Overloaded);
     }
     std::vector<LogEntry> entries;
@@ -123,7 +123,7 @@
 
 ProposalResult proposeMember(ConsensusState &state, Member member, TimePoint now, ConsensusActions &actions)
 {
-    if (const auto error = changeError(state)) {
+    if (const auto error = membershipChangeError(state)) {
         return rejected(state, *error);
     }
     if (findMember(state, member.id) != nullptr) {
@@ -137,7 +137,7 @@
 
 ProposalResult proposeRemoval(ConsensusState &state, VoterId member, TimePoint now, ConsensusActions &actions)
 {
-    if (const auto error = changeError(state)) {
+    if (const auto error = membershipChangeError(state)) {
         return rejected(state, *error);
     }
     const Member *found = findMember(state, member);
@@ -159,12 +159,12 @@
 
 std::uint64_t requestRead(ConsensusState &state, ConsensusActions &actions)
 {
-    const std::uint64_t read = ++state.lastRead;
+    const std::uint64_t read = ++state.lastReadId;
     if (state.role != VoterRole::Leader) {
         actions.emplace_back(ReadRejected{read});
         return read;
     }
-    state.reads.push_back({read, state.round + 1, std::max(state.commitIndex, state.termStart)});
+    state.pendingReads.push_back({read, state.round + 1, std::max(state.commitIndex, state.termStart)});
     state.roundNeeded = true;
     return read;
 }
--- a/src/control/consensusfollower.cpp
+++ b/src/control/consensusfollower.cpp
@@ -14,17 +14,17 @@
         becomeFollower(state, term, from, now, actions);
     }
     state.leader = from;
-    state.leaderHeard = now;
+    state.lastLeaderContact = now;
     resetElectionDeadline(state, now);
     return true;
 }
 
-void reportDurable(ConsensusState &state, std::uint64_t round, ConsensusActions &actions)
+void reportDurableIndex(ConsensusState &state, std::uint64_t round, ConsensusActions &actions)
 {
     if (state.leader == VoterId{} || state.leader == state.self) {
         return;
     }
-    send(state, state.leader, AppendReply{state.term, round, true, std::min(state.matchedIndex, state.syncedIndex)}, actions);
+    send(state, state.leader, AppendReply{state.term, round, true, std::min(state.leaderMatchIndex, state.syncedIndex)}, actions);
 }
 
 namespace {
@@ -35,28 +35,28 @@
     if (previous > lastIndex(state)) {
         return lastIndex(state) + 1;
     }
-    const Term wrong = termAt(state, previous);
+    const Term mismatchedTerm = termAt(state, previous);
     LogIndex retry = previous;
-    while (retry > state.commitIndex + 1 && termAt(state, retry - 1) == wrong) {
+    while (retry > state.commitIndex + 1 && termAt(state, retry - 1) == mismatchedTerm) {
         --retry;
     }
     return std::max(retry, state.commitIndex + 1);
 }
 
-void takeEntries(ConsensusState &state, const AppendRequest &request, ConsensusActions &actions)
+void appendMissingEntries(ConsensusState &state, const AppendRequest &request, ConsensusActions &actions)
 {
-    std::vector<LogEntry> added;
+    std::vector<LogEntry> newEntries;
     for (const LogEntry &entry : request.entries) {
-        if (entry.index <= state.logStart || (added.empty() && termAt(state, entry.index) == entry.term)) {
+        if (entry.index <= state.logStart || (newEntries.empty() && termAt(state, entry.index) == entry.term)) {
             continue;
         }
-        if (added.empty() && entry.index <= lastIndex(state)) {
+        if (newEntries.empty() && entry.index <= lastIndex(state)) {
             truncateLog(state, entry.index, actions);
         }
-        added.push_back(entry);
+        newEntries.push_back(entry);
     }
-    if (!added.empty()) {
-        appendToLog(state, std::move(added), actions);
+    if (!newEntries.empty()) {
+        appendToLog(state, std::move(newEntries), actions);
     }
 }
 
@@ -67,7 +67,7 @@
     if (!acceptLeader(state, from, request.term, request.round, now, actions)) {
         return;
     }
-    if (state.incoming && state.incoming->installing) {
+    if (state.incomingSnapshot && state.incomingSnapshot->installing) {
         // Confirms the leader without a claim about the log, which is being replaced.
         send(state, from, AppendReply{state.term, request.round, true, 0}, actions);
         return;
@@ -79,25 +79,25 @@
         send(state, from, AppendReply{state.term, request.round, false, retryIndex(state, request.previousIndex)}, actions);
         return;
     }
-    takeEntries(state, request, actions);
+    appendMissingEntries(state, request, actions);
     const LogIndex end = request.previousIndex + request.entries.size();
-    state.matchedIndex = std::max({state.matchedIndex, end, state.commitIndex});
+    state.leaderMatchIndex = std::max({state.leaderMatchIndex, end, state.commitIndex});
     state.commitIndex = std::max(state.commitIndex, std::min(request.commitIndex, end));
     applyCommitted(state, actions);
-    reportDurable(state, request.round, actions);
+    reportDurableIndex(state, request.round, actions);
 }
 
 namespace {
 
 /** The log already has the entry of the snapshot: entries behind it may have been acknowledged and must stay. */
-bool alreadyHas(ConsensusState &state, const SnapshotPoint &point, ConsensusActions &actions)
+bool logCoversSnapshot(ConsensusState &state, const SnapshotPoint &point, ConsensusActions &actions)
 {
     const bool inLog = point.index > state.logStart && point.index <= lastIndex(state) && termAt(state, point.index) == point.term;
     if (point.index > state.commitIndex && !inLog) {
         return false;
     }
     state.commitIndex = std::max(state.commitIndex, point.index);
-    state.matchedIndex = std::max(state.matchedIndex, state.commitIndex);
+    state.leaderMatchIndex = std::max(state.leaderMatchIndex, state.commitIndex);
     applyCommitted(state, actions);
     return true;
 }
@@ -109,24 +109,24 @@
     if (!acceptLeader(state, from, chunk.term, chunk.round, now, actions)) {
         return;
     }
-    if (state.incoming && state.incoming->installing) {
+    if (state.incomingSnapshot && state.incomingSnapshot->installing) {
         send(state, from, AppendReply{state.term, chunk.round, true, 0}, actions);
         return;
     }
-    if (alreadyHas(state, chunk.point, actions)) {
-        state.incoming.reset();
-        reportDurable(state, chunk.round, actions);
+    if (logCoversSnapshot(state, chunk.point, actions)) {
+        state.incomingSnapshot.reset();
+        reportDurableIndex(state, chunk.round, actions);
         return;
     }
-    if (chunk.size > state.options.snapshotBytes || chunk.data.size() > chunk.size) {
+    if (chunk.size > state.options.maximumSnapshotBytes || chunk.data.size() > chunk.size) {
         return;
     }
-    const bool sameSnapshot = state.incoming && state.incoming->from == from && state.incoming->point.index == chunk.point.index
-                              && state.incoming->point.term == chunk.point.term && state.incoming->size == chunk.size;
+    const bool sameSnapshot = state.incomingSnapshot && state.incomingSnapshot->from == from && state.incomingSnapshot->point.index == chunk.point.index
+                              && state.incomingSnapshot->point.term == chunk.point.term && state.incomingSnapshot->size == chunk.size;
     if (!sameSnapshot) {
-        state.incoming = IncomingSnapshot{from, chunk.point, chunk.size, {}, false, 0};
+        state.incomingSnapshot = IncomingSnapshot{from, chunk.point, chunk.size, {}, false, 0};
     }
-    IncomingSnapshot &incoming = *state.incoming;
+    IncomingSnapshot &incoming = *state.incomingSnapshot;
     incoming.round = chunk.round;
     if (chunk.offset == incoming.data.size() && chunk.data.size() <= incoming.size - incoming.data.size()) {
         incoming.data.insert(incoming.data.end(), chunk.data.begin(), chunk.data.end());
@@ -142,35 +142,35 @@
 
 void snapshotInstalled(ConsensusState &state, LogIndex index, TimePoint now, ConsensusActions &actions)
 {
-    if (!state.incoming || !state.incoming->installing || state.incoming->point.index != index) {
+    if (!state.incomingSnapshot || !state.incomingSnapshot->installing || state.incomingSnapshot->point.index != index) {
         return;
     }
-    state.snapshot = std::move(state.incoming->point);
-    state.snapshotData = std::make_shared<const Bytes>(std::move(state.incoming->data));
-    const std::uint64_t round = state.incoming->round;
-    state.incoming.reset();
+    state.snapshot = std::move(state.incomingSnapshot->point);
+    state.snapshotData = std::make_shared<const Bytes>(std::move(state.incomingSnapshot->data));
+    const std::uint64_t round = state.incomingSnapshot->round;
+    state.incomingSnapshot.reset();
     state.log.clear();
     state.logStart = index;
     state.logStartTerm = state.snapshot.term;
-    state.startMembers = state.snapshot.members;
+    state.logStartMembers = state.snapshot.members;
     state.members = state.snapshot.members;
     state.membersIndex = index;
     state.commitIndex = index;
     state.appliedIndex = index;
     state.syncedIndex = index;
-    state.matchedIndex = index;
+    state.leaderMatchIndex = index;
     for (PendingWrite &write : state.pendingWrites) {
         write.lastIndex = 0;
     }
     resetElectionDeadline(state, now);
     if (state.role == VoterRole::Follower) {
-        reportDurable(state, round, actions);
+        reportDurableIndex(state, round, actions);
     }
 }
 
-void snapshotRefused(ConsensusState &state)
+void snapshotRejected(ConsensusState &state)
 {
-    state.incoming.reset();
+    state.incomingSnapshot.reset();
 }
 
 } // namespace mimosahollow::control
--- a/src/control/consensusinternal.h
+++ b/src/control/consensusinternal.h
@@ -30,14 +30,14 @@
 void receiveAppendRequest(ConsensusState &state, VoterId from, const AppendRequest &request, TimePoint now, ConsensusActions &actions);
 void receiveSnapshotChunk(ConsensusState &state, VoterId from, const SnapshotChunk &chunk, TimePoint now, ConsensusActions &actions);
 /** Tells the leader how much of its log is durable here. */
-void reportDurable(ConsensusState &state, std::uint64_t round, ConsensusActions &actions);
+void reportDurableIndex(ConsensusState &state, std::uint64_t round, ConsensusActions &actions);
 
-void startLeading(ConsensusState &state, TimePoint now, ConsensusActions &actions);
+void becomeLeader(ConsensusState &state, TimePoint now, ConsensusActions &actions);
 void tickLeader(ConsensusState &state, TimePoint now, ConsensusActions &actions);
 void receiveAppendReply(ConsensusState &state, VoterId from, const AppendReply &reply, TimePoint now, ConsensusActions &actions);
 void receiveSnapshotReply(ConsensusState &state, VoterId from, const SnapshotReply &reply, TimePoint now, ConsensusActions &actions);
 void sendEntries(ConsensusState &state, VoterId to, TimePoint now, ConsensusActions &actions);
-void sendToAll(ConsensusState &state, TimePoint now, ConsensusActions &actions);
+void sendEntriesToAll(ConsensusState &state, TimePoint now, ConsensusActions &actions);
 void advanceCommit(ConsensusState &state, TimePoint now, ConsensusActions &actions);
 void confirmReads(ConsensusState &state, ConsensusActions &actions);
 void rejectReads(ConsensusState &state, ConsensusActions &actions);
--- a/src/control/consensusleader.cpp
+++ b/src/control/consensusleader.cpp
@@ -8,30 +8,30 @@
 namespace {
 
 /** A chunk without an answer is sent again after this time; an answer takes a few milliseconds between failure domains. */
-constexpr Duration chunkRetry = milliseconds(500);
+constexpr Duration chunkRetryInterval = milliseconds(500);
 
-bool hearsMajority(const ConsensusState &state, TimePoint now)
+bool hasMajorityContact(const ConsensusState &state, TimePoint now)
 {
-    std::size_t heard = isVoter(state, state.self) ? 1 : 0;
+    std::size_t reachable = isVoter(state, state.self) ? 1 : 0;
     for (const auto &[id, progress] : state.progress) {
-        if (isVoter(state, id) && now - progress.heard <= state.options.electionTimeoutMaximum) {
-            ++heard;
+        if (isVoter(state, id) && now - progress.lastReplyAt <= state.options.electionTimeoutMaximum) {
+            ++reachable;
         }
     }
-    return heard >= majority(state);
+    return reachable >= majority(state);
 }
 
 void sendChunk(ConsensusState &state, VoterId to, MemberProgress &progress, TimePoint now, ConsensusActions &actions)
 {
     const Bytes &data = *progress.snapshotData;
     SnapshotChunk chunk{state.term, state.round, progress.snapshot, data.size(), progress.snapshotOffset, {}};
-    const std::uint64_t end = std::min<std::uint64_t>(data.size(), progress.snapshotOffset + state.options.chunkBytes);
+    const std::uint64_t end = std::min<std::uint64_t>(data.size(), progress.snapshotOffset + state.options.snapshotChunkBytes);
     chunk.data.assign(data.begin() + static_cast<std::ptrdiff_t>(progress.snapshotOffset), data.begin() + static_cast<std::ptrdiff_t>(end));
-    progress.chunkSent = now;
+    progress.chunkSentAt = now;
     send(state, to, std::move(chunk), actions);
 }
 
-void startSnapshot(ConsensusState &state, VoterId to, MemberProgress &progress, TimePoint now, ConsensusActions &actions)
+void startSnapshotTransfer(ConsensusState &state, VoterId to, MemberProgress &progress, TimePoint now, ConsensusActions &actions)
 {
     progress.snapshot = state.snapshot;
     progress.snapshotData = state.snapshotData;
@@ -39,14 +39,14 @@
     sendChunk(state, to, progress, now, actions);
 }
 
-void endSnapshot(MemberProgress &progress)
+void endSnapshotTransfer(MemberProgress &progress)
 {
     progress.snapshot = {};
     progress.snapshotData.reset();
     progress.snapshotOffset = 0;
 }
 
-AppendRequest emptyRequest(const ConsensusState &state, LogIndex previous)
+AppendRequest emptyAppendRequest(const ConsensusState &state, LogIndex previous)
 {
     previous = std::max(previous, state.logStart);
     return {state.term, previous, termAt(state, previous), state.commitIndex, state.round, {}};
@@ -60,34 +60,34 @@
     while (next <= last) {
         const LogEntry &entry = entryAt(state, next);
         size += entry.payload ? entry.payload->size() : 0;
-        if (!request.entries.empty() && size > state.options.appendBytes) {
+        if (!request.entries.empty() && size > state.options.maximumAppendBytes) {
             return;
         }
         request.entries.push_back(entry);
         ++next;
-        if (request.entries.size() >= state.options.inFlightEntries) {
+        if (request.entries.size() >= state.options.maximumInFlightEntries) {
             return;
         }
     }
 }
 
-void heartbeat(ConsensusState &state, VoterId to, TimePoint now, ConsensusActions &actions)
+void sendHeartbeat(ConsensusState &state, VoterId to, TimePoint now, ConsensusActions &actions)
 {
     MemberProgress &progress = state.progress[to];
     if (progress.snapshot.index != 0) {
-        if (now - progress.chunkSent >= chunkRetry) {
+        if (now - progress.chunkSentAt >= chunkRetryInterval) {
             sendChunk(state, to, progress, now, actions);
         } else {
-            send(state, to, emptyRequest(state, state.logStart), actions);
+            send(state, to, emptyAppendRequest(state, state.logStart), actions);
         }
         return;
     }
-    if (progress.next <= state.logStart) {
-        startSnapshot(state, to, progress, now, actions);
+    if (progress.nextIndex <= state.logStart) {
+        startSnapshotTransfer(state, to, progress, now, actions);
         return;
     }
     // Entries that were lost show as a mismatch here.
-    send(state, to, emptyRequest(state, progress.next - 1), actions);
+    send(state, to, emptyAppendRequest(state, progress.nextIndex - 1), actions);
 }
 
 /** Gives a learner its vote once everything committed is durable there. */
@@ -98,13 +98,13 @@
     }
     for (Member &member : state.members) {
         const auto progress = state.progress.find(member.id);
-        if (!member.learner || progress == state.progress.end() || progress->second.match < state.commitIndex) {
+        if (!member.learner || progress == state.progress.end() || progress->second.matchIndex < state.commitIndex) {
             continue;
         }
         LogEntry entry{lastIndex(state) + 1, state.term, EntryKind::Members, nullptr, state.members};
         entry.members[static_cast<std::size_t>(&member - state.members.data())].learner = false;
         appendToLog(state, {std::move(entry)}, actions);
-        sendToAll(state, now, actions);
+        sendEntriesToAll(state, now, actions);
         return;
     }
 }
@@ -119,14 +119,14 @@
     for (const Member &member : state.members) {
         if (member.id != state.self && !state.progress.contains(member.id)) {
             MemberProgress progress;
-            progress.next = lastIndex(state) + 1;
-            progress.heard = now;
+            progress.nextIndex = lastIndex(state) + 1;
+            progress.lastReplyAt = now;
             state.progress.emplace(member.id, std::move(progress));
         }
     }
 }
 
-void startLeading(ConsensusState &state, TimePoint now, ConsensusActions &actions)
+void becomeLeader(ConsensusState &state, TimePoint now, ConsensusActions &actions)
 {
     state.role = VoterRole::Leader;
     state.leader = state.self;
@@ -136,8 +136,8 @@
     actions.emplace_back(BecameLeader{state.term});
     appendToLog(state, {LogEntry{state.termStart, state.term, EntryKind::Empty, nullptr, {}}}, actions);
     ++state.round;
-    state.nextHeartbeat = now + state.options.heartbeat;
-    sendToAll(state, now, actions);
+    state.nextHeartbeat = now + state.options.heartbeatInterval;
+    sendEntriesToAll(state, now, actions);
 }
 
 void sendEntries(ConsensusState &state, VoterId to, TimePoint now, ConsensusActions &actions)
@@ -147,20 +147,20 @@
         return;
     }
     const LogIndex last = lastIndex(state);
-    while (progress.next <= last && progress.next - progress.match <= state.options.inFlightEntries) {
-        if (progress.next <= state.logStart) {
-            startSnapshot(state, to, progress, now, actions);
+    while (progress.nextIndex <= last && progress.nextIndex - progress.matchIndex <= state.options.maximumInFlightEntries) {
+        if (progress.nextIndex <= state.logStart) {
+            startSnapshotTransfer(state, to, progress, now, actions);
             return;
         }
-        AppendRequest request = emptyRequest(state, progress.next - 1);
-        fillEntries(state, progress.next, request);
+        AppendRequest request = emptyAppendRequest(state, progress.nextIndex - 1);
+        fillEntries(state, progress.nextIndex, request);
         const LogIndex sent = request.entries.size();
         send(state, to, std::move(request), actions);
-        progress.next += sent;
+        progress.nextIndex += sent;
     }
 }
 
-void sendToAll(ConsensusState &state, TimePoint now, ConsensusActions &actions)
+void sendEntriesToAll(ConsensusState &state, TimePoint now, ConsensusActions &actions)
 {
     updateProgress(state, now);
     for (const auto &element : state.progress) {
@@ -170,7 +170,7 @@
 
 void tickLeader(ConsensusState &state, TimePoint now, ConsensusActions &actions)
 {
-    if (!hearsMajority(state, now)) {
+    if (!hasMajorityContact(state, now)) {
         becomeFollower(state, state.term, VoterId{}, now, actions);
         return;
     }
@@ -179,16 +179,16 @@
     }
     ++state.round;
     state.roundNeeded = false;
-    state.nextHeartbeat = now + state.options.heartbeat;
+    state.nextHeartbeat = now + state.options.heartbeatInterval;
     updateProgress(state, now);
     for (const auto &element : state.progress) {
-        heartbeat(state, element.first, now, actions);
+        sendHeartbeat(state, element.first, now, actions);
     }
     confirmReads(state, actions);
 }
 
 /** Handles what every reply carries. Returns the sender's progress; null when the reply concerns no present leadership. */
-static MemberProgress *noteReply(ConsensusState &state, VoterId from, Term term, std::uint64_t round, TimePoint now, ConsensusActions &actions)
+static MemberProgress *recordReply(ConsensusState &state, VoterId from, Term term, std::uint64_t round, TimePoint now, ConsensusActions &actions)
 {
     if (term > state.term) {
         becomeFollower(state, term, VoterId{}, now, actions);
@@ -199,33 +199,33 @@
         return nullptr;
     }
     MemberProgress &progress = found->second;
-    progress.heard = now;
-    progress.round = std::max(progress.round, round);
+    progress.lastReplyAt = now;
+    progress.confirmedRound = std::max(progress.confirmedRound, round);
     return &progress;
 }
 
 void receiveAppendReply(ConsensusState &state, VoterId from, const AppendReply &reply, TimePoint now, ConsensusActions &actions)
 {
-    MemberProgress *sender = noteReply(state, from, reply.term, reply.round, now, actions);
+    MemberProgress *sender = recordReply(state, from, reply.term, reply.round, now, actions);
     if (sender == nullptr) {
         return;
     }
     MemberProgress &progress = *sender;
     if (reply.accepted) {
-        const bool advanced = reply.matchIndex > progress.match;
-        progress.match = std::max(progress.match, reply.matchIndex);
-        progress.next = std::max(progress.next, progress.match + 1);
-        if (progress.snapshot.index != 0 && progress.match >= progress.snapshot.index) {
-            endSnapshot(progress);
+        const bool advanced = reply.matchIndex > progress.matchIndex;
+        progress.matchIndex = std::max(progress.matchIndex, reply.matchIndex);
+        progress.nextIndex = std::max(progress.nextIndex, progress.matchIndex + 1);
+        if (progress.snapshot.index != 0 && progress.matchIndex >= progress.snapshot.index) {
+            endSnapshotTransfer(progress);
         }
         progress.probing = false;
         if (advanced) {
             advanceCommit(state, now, actions);
         }
-    } else if (progress.snapshot.index == 0 && reply.matchIndex < progress.next) {
-        progress.next = std::max(reply.matchIndex, progress.match + 1);
+    } else if (progress.snapshot.index == 0 && reply.matchIndex < progress.nextIndex) {
+        progress.nextIndex = std::max(reply.matchIndex, progress.matchIndex + 1);
         progress.probing = true;
-        heartbeat(state, from, now, actions);
+        sendHeartbeat(state, from, now, actions);
     }
     confirmReads(state, actions);
     // The commit may have ended the leadership or the membership of the sender.
@@ -239,14 +239,14 @@
 
 void receiveSnapshotReply(ConsensusState &state, VoterId from, const SnapshotReply &reply, TimePoint now, ConsensusActions &actions)
 {
-    MemberProgress *sender = noteReply(state, from, reply.term, reply.round, now, actions);
+    MemberProgress *sender = recordReply(state, from, reply.term, reply.round, now, actions);
     if (sender == nullptr) {
         return;
     }
     MemberProgress &progress = *sender;
     // A repeated answer for an offset that was passed already would double the traffic.
-    const bool isNews = reply.received > progress.snapshotOffset || reply.received == 0;
-    if (progress.snapshot.index == reply.index && progress.snapshotData && isNews && reply.received <= progress.snapshotData->size()) {
+    const bool advancesTransfer = reply.received > progress.snapshotOffset || reply.received == 0;
+    if (progress.snapshot.index == reply.index && progress.snapshotData && advancesTransfer && reply.received <= progress.snapshotData->size()) {
         progress.snapshotOffset = reply.received;
         sendChunk(state, from, progress, now, actions);
     }
@@ -263,7 +263,7 @@
         if (member.id == state.self) {
             durable.push_back(state.syncedIndex);
         } else if (const auto progress = state.progress.find(member.id); progress != state.progress.end()) {
-            durable.push_back(progress->second.match);
+            durable.push_back(progress->second.matchIndex);
         } else {
             durable.push_back(0);
         }
@@ -284,7 +284,7 @@
         // The others learn of the commit before this leader falls silent.
         ++state.round;
         for (const auto &element : state.progress) {
-            send(state, element.first, emptyRequest(state, std::min(element.second.next - 1, lastIndex(state))), actions);
+            send(state, element.first, emptyAppendRequest(state, std::min(element.second.nextIndex - 1, lastIndex(state))), actions);
         }
         becomeFollower(state, state.term, VoterId{}, now, actions);
     }
@@ -292,28 +292,28 @@
 
 void confirmReads(ConsensusState &state, ConsensusActions &actions)
 {
-    while (!state.reads.empty()) {
-        const PendingRead &read = state.reads.front();
+    while (!state.pendingReads.empty()) {
+        const PendingRead &read = state.pendingReads.front();
         std::size_t confirmed = isVoter(state, state.self) ? 1 : 0;
         for (const auto &[id, progress] : state.progress) {
-            if (isVoter(state, id) && progress.round >= read.round) {
+            if (isVoter(state, id) && progress.confirmedRound >= read.round) {
                 ++confirmed;
             }
         }
         if (confirmed < majority(state) || state.appliedIndex < read.index || state.round < read.round) {
             return;
         }
-        actions.emplace_back(ReadConfirmed{read.read, state.appliedIndex});
-        state.reads.pop_front();
+        actions.emplace_back(ReadConfirmed{read.readId, state.appliedIndex});
+        state.pendingReads.pop_front();
     }
 }
 
 void rejectReads(ConsensusState &state, ConsensusActions &actions)
 {
-    for (const PendingRead &read : state.reads) {
-        actions.emplace_back(ReadRejected{read.read});
+    for (const PendingRead &read : state.pendingReads) {
+        actions.emplace_back(ReadRejected{read.readId});
     }
-    state.reads.clear();
+    state.pendingReads.clear();
     state.roundNeeded = false;
 }
 
--- a/src/control/consensuslog.cpp
+++ b/src/control/consensuslog.cpp
@@ -55,14 +55,14 @@
             return entryAt(state, i).members;
         }
     }
-    return state.startMembers;
+    return state.logStartMembers;
 }
 
 namespace {
 
-void findMembers(ConsensusState &state)
+void refreshMembership(ConsensusState &state)
 {
-    state.members = state.startMembers;
+    state.members = state.logStartMembers;
     state.membersIndex = state.logStart;
     for (LogIndex i = lastIndex(state); i > state.logStart; --i) {
         if (entryAt(state, i).kind == EntryKind::Members) {
@@ -77,13 +77,13 @@
 
 void send(ConsensusState &state, VoterId to, ConsensusMessage message, ConsensusActions &actions)
 {
-    SendToVoter order{to, std::move(message)};
+    SendToVoter outgoing{to, std::move(message)};
     // A voter that forgets its term or vote in a crash could vote twice in one term.
     if (state.voteWrite > state.syncedWrite) {
-        state.held.push_back({state.voteWrite, std::move(order)});
+        state.deferredMessages.push_back({state.voteWrite, std::move(outgoing)});
         return;
     }
-    actions.emplace_back(std::move(order));
+    actions.emplace_back(std::move(outgoing));
 }
 
 void saveVote(ConsensusState &state, ConsensusActions &actions)
@@ -114,7 +114,7 @@
     for (PendingWrite &write : state.pendingWrites) {
         write.lastIndex = std::min(write.lastIndex, from - 1);
     }
-    findMembers(state);
+    refreshMembership(state);
     state.pendingWrites.push_back({++state.lastWrite, 0});
     actions.emplace_back(TruncateLog{state.lastWrite, from});
 }
@@ -174,8 +174,8 @@
     }
     state.log.assign(firstKept, durable.entries.end());
     // Before the snapshot this is only an approximation; nobody asks for the membership there.
-    state.startMembers = durable.snapshot.members.empty() ? std::move(firstMembers) : durable.snapshot.members;
-    findMembers(state);
+    state.logStartMembers = durable.snapshot.members.empty() ? std::move(firstMembers) : durable.snapshot.members;
+    refreshMembership(state);
     state.commitIndex = durable.snapshot.index;
     state.appliedIndex = durable.snapshot.index;
     state.syncedIndex = lastIndex(state);
@@ -204,7 +204,7 @@
     state.logStartTerm = termAt(state, start);
     state.log.erase(state.log.begin(), state.log.begin() + static_cast<std::ptrdiff_t>(start - state.logStart));
     state.logStart = start;
-    state.startMembers = std::move(members);
+    state.logStartMembers = std::move(members);
     state.pendingWrites.push_back({++state.lastWrite, 0});
     actions.emplace_back(CompactLog{state.lastWrite, start});
 }
@@ -217,9 +217,9 @@
         state.syncedIndex = std::max(state.syncedIndex, state.pendingWrites.front().lastIndex);
         state.pendingWrites.pop_front();
     }
-    while (!state.held.empty() && state.held.front().write <= state.syncedWrite) {
-        actions.emplace_back(std::move(state.held.front().message));
-        state.held.pop_front();
+    while (!state.deferredMessages.empty() && state.deferredMessages.front().write <= state.syncedWrite) {
+        actions.emplace_back(std::move(state.deferredMessages.front().message));
+        state.deferredMessages.pop_front();
     }
     countOwnVote(state, now, actions);
     if (state.syncedIndex == before) {
@@ -228,7 +228,7 @@
     if (state.role == VoterRole::Leader) {
         advanceCommit(state, now, actions);
     } else {
-        reportDurable(state, 0, actions);
+        reportDurableIndex(state, 0, actions);
     }
 }
 
--- a/src/control/election.cpp
+++ b/src/control/election.cpp
@@ -21,7 +21,7 @@
     if (term > state.term) {
         state.term = term;
         state.vote = VoterId{};
-        state.matchedIndex = 0;
+        state.leaderMatchIndex = 0;
         saveVote(state, actions);
     }
     if (wasLeader) {
@@ -42,9 +42,9 @@
 }
 
 /** A leader without a majority steps down by itself, so a voter that leads counts as one that hears a leader. */
-bool hearsLeader(const ConsensusState &state, TimePoint now)
+bool hasLeaderContact(const ConsensusState &state, TimePoint now)
 {
-    return state.role == VoterRole::Leader || (state.leader != VoterId{} && now - state.leaderHeard < state.options.electionTimeoutMinimum);
+    return state.role == VoterRole::Leader || (state.leader != VoterId{} && now - state.lastLeaderContact < state.options.electionTimeoutMinimum);
 }
 
 void requestVotes(ConsensusState &state, bool preVote, ConsensusActions &actions)
@@ -63,7 +63,7 @@
     state.role = VoterRole::Candidate;
     ++state.term;
     state.vote = state.self;
-    state.matchedIndex = 0;
+    state.leaderMatchIndex = 0;
     state.votes.clear();
     saveVote(state, actions);
     resetElectionDeadline(state, now);
@@ -92,13 +92,13 @@
     }
     state.votes.insert(state.self);
     if (state.votes.size() >= majority(state)) {
-        startLeading(state, now, actions);
+        becomeLeader(state, now, actions);
     }
 }
 
 void receiveVoteRequest(ConsensusState &state, VoterId from, const VoteRequest &request, TimePoint now, ConsensusActions &actions)
 {
-    if (hearsLeader(state, now)) {
+    if (hasLeaderContact(state, now)) {
         // A voter that lost contact must not depose a leader that a majority still hears.
         send(state, from, VoteReply{state.term, request.preVote, false}, actions);
         return;
@@ -141,29 +141,29 @@
     } else if (state.role == VoterRole::Candidate && !reply.preVote && reply.term == state.term) {
         state.votes.insert(from);
         if (state.votes.size() >= majority(state)) {
-            startLeading(state, now, actions);
+            becomeLeader(state, now, actions);
         }
     }
 }
 
-void hurryElection(ConsensusState &state, Duration spread, TimePoint now)
+void expediteElection(ConsensusState &state, Duration maximumDelay, TimePoint now)
 {
-    if (state.role == VoterRole::Leader || hearsLeader(state, now)) {
+    if (state.role == VoterRole::Leader || hasLeaderContact(state, now)) {
         return;
     }
     // The lower bound lets one voter finish its round of pre-votes before the next one begins its own.
-    std::uniform_int_distribution<Duration::rep> random(spread.count() / 5, spread.count());
+    std::uniform_int_distribution<Duration::rep> random(maximumDelay.count() / 5, maximumDelay.count());
     state.electionDeadline = std::min(state.electionDeadline, now + Duration(random(state.random)));
 }
 
-void voterDisconnected(ConsensusState &state, VoterId voter, Duration spread, TimePoint now)
+void voterDisconnected(ConsensusState &state, VoterId voter, Duration maximumDelay, TimePoint now)
 {
     if (voter == VoterId{} || state.leader != voter || state.role != VoterRole::Follower) {
         return;
     }
     // Pre-votes keep this safe for a leader whose other connections hold: their voters still hear it and refuse.
-    state.leaderHeard = {};
-    hurryElection(state, spread, now);
+    state.lastLeaderContact = {};
+    expediteElection(state, maximumDelay, now);
 }
 
 } // namespace mimosahollow::control
--- a/src/coordination/voter.cpp
+++ b/src/coordination/voter.cpp
@@ -48,7 +48,7 @@
     voter.snapshotIndex = voter.control.appliedIndex;
     auto data = std::make_shared<const control::Bytes>(control::encodeSnapshot(voter.control));
     StoreSnapshot store{0, control::snapshotPoint(voter.consensus, voter.control.appliedIndex), std::move(data), false};
-    actions.push_back(StorageOrder(std::move(store)));
+    actions.push_back(StorageWrite(std::move(store)));
 }
 
 void installSnapshot(CoordinationState &state, control::InstallSnapshot &snapshot, TimePoint now, Actions &actions)
@@ -56,7 +56,7 @@
     auto decoded = control::decodeSnapshot(*snapshot.data);
     if (const auto *error = std::get_if<control::SnapshotError>(&decoded)) {
         actions.push_back(Notice{"snapshot received from the leader cannot be decoded: " + error->message});
-        control::snapshotRefused(state.voter->consensus);
+        control::snapshotRejected(state.voter->consensus);
         return;
     }
     VoterState &voter = *state.voter;
@@ -65,7 +65,7 @@
     membership::setSnapshot(state.feed, voter.control.appliedIndex, link::encode(voter.control.configuration));
     activateConfiguration(state, control::sharedConfiguration(voter.control), now, actions);
     reportApplied(state, voter.control.appliedIndex, now, actions);
-    actions.push_back(StorageOrder(StoreSnapshot{snapshot.write, snapshot.point, std::move(snapshot.data), true}));
+    actions.push_back(StorageWrite(StoreSnapshot{snapshot.write, snapshot.point, std::move(snapshot.data), true}));
 }
 
 struct ConsensusActionExecutor
@@ -81,19 +81,19 @@
     }
     void operator()(control::SaveVote &order) const
     {
-        actions.push_back(StorageOrder(order));
+        actions.push_back(StorageWrite(order));
     }
     void operator()(control::AppendLog &order) const
     {
-        actions.push_back(StorageOrder(std::move(order)));
+        actions.push_back(StorageWrite(std::move(order)));
     }
     void operator()(control::TruncateLog &order) const
     {
-        actions.push_back(StorageOrder(order));
+        actions.push_back(StorageWrite(order));
     }
     void operator()(control::CompactLog &order) const
     {
-        actions.push_back(StorageOrder(order));
+        actions.push_back(StorageWrite(order));
     }
     void operator()(control::InstallSnapshot &snapshot) const
     {
@@ -120,11 +120,11 @@
     }
     void operator()(const control::ReadConfirmed &event) const
     {
-        onReadConfirmed(state, event.read, now, actions);
+        onReadConfirmed(state, event.readId, now, actions);
     }
     void operator()(const control::ReadRejected &event) const
     {
-        state.voter->reads.erase(event.read);
+        state.voter->reads.erase(event.readId);
     }
 };
 
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -237,7 +237,7 @@
         ++voters;
         const auto progress = m_consensus->progress.find(member.id);
         const bool isHeard =
-            member.id == m_self || (progress != m_consensus->progress.end() && now - progress->second.heard <= m_settings.majorityContactTimeout);
+            member.id == m_self || (progress != m_consensus->progress.end() && now - progress->second.lastReplyAt <= m_settings.majorityContactTimeout);
         heard += isHeard ? 1 : 0;
     }
     return heard > voters / 2;
@@ -341,7 +341,7 @@
     for (const control::Member &member : m_consensus->members) {
         Duration silence{};
         if (const auto progress = m_consensus->progress.find(member.id); progress != m_consensus->progress.end()) {
-            silence = now - progress->second.heard;
+            silence = now - progress->second.lastReplyAt;
         }
         members.push_back({member, silence});
     }
--- a/src/coordinator/coordinatorlinks.cpp
+++ b/src/coordinator/coordinatorlinks.cpp
@@ -102,7 +102,7 @@
     if (!isEntry(peer)) {
         m_hub->dial(peer.hello.address);
         // When all voters start at once there is no leader yet. Elect one without waiting for a whole election timeout.
-        control::hurryElection(*m_consensus, m_settings.electionSpread, Clock::now());
+        control::expediteElection(*m_consensus, m_settings.electionSpread, Clock::now());
     }
     if (isEntry(peer) || !peer.dialedAddress.empty()) {
         m_hub->send(peer.number, knownCoordinators());
--- a/src/coordinator/coordinatorlog.cpp
+++ b/src/coordinator/coordinatorlog.cpp
@@ -61,9 +61,9 @@
     } else if (std::holds_alternative<control::LostLeadership>(action)) {
         loseLeadership();
     } else if (const auto *confirmed = std::get_if<control::ReadConfirmed>(&action)) {
-        finishRead(confirmed->read, true);
+        finishRead(confirmed->readId, true);
     } else if (const auto *rejected = std::get_if<control::ReadRejected>(&action)) {
-        finishRead(rejected->read, false);
+        finishRead(rejected->readId, false);
     }
 }
 
@@ -112,7 +112,7 @@
     auto decoded = fleetstate::decodeSnapshot(*snapshot.data);
     if (const auto *error = std::get_if<fleetstate::FleetStateError>(&decoded)) {
         observability::logError("snapshot received from the leader cannot be decoded: " + error->message);
-        control::snapshotRefused(*m_consensus);
+        control::snapshotRejected(*m_consensus);
         return;
     }
     m_state = std::get<fleetstate::FleetState>(std::move(decoded));
--- a/src/coordinator/coordinatorsettings.h
+++ b/src/coordinator/coordinatorsettings.h
@@ -18,7 +18,7 @@
     control::ConsensusOptions options;
     options.electionTimeoutMinimum = milliseconds(500);
     options.electionTimeoutMaximum = milliseconds(900);
-    options.heartbeat = milliseconds(100);
+    options.heartbeatInterval = milliseconds(100);
     return options;
 }
 
--- a/src/storage/logstore.cpp
+++ b/src/storage/logstore.cpp
@@ -193,7 +193,7 @@
     return std::nullopt;
 }
 
-std::optional<StorageError> LogStore::Impl::writeOrders(std::span<const StorageOrder> orders)
+std::optional<StorageError> LogStore::Impl::writeOrders(std::span<const StorageWrite> orders)
 {
     // The newest vote covers the earlier ones of the group. It goes first: entries of a term need the term to be durable.
     for (auto order = orders.rbegin(); order != orders.rend(); ++order) {
@@ -204,7 +204,7 @@
             break;
         }
     }
-    for (const StorageOrder &order : orders) {
+    for (const StorageWrite &order : orders) {
         auto error = std::visit(
             [this](const auto &content) -> std::optional<StorageError> {
                 if constexpr (std::is_same_v<std::decay_t<decltype(content)>, control::SaveVote>) {
@@ -241,7 +241,7 @@
     return opened;
 }
 
-std::optional<StorageError> LogStore::write(std::span<const StorageOrder> orders)
+std::optional<StorageError> LogStore::write(std::span<const StorageWrite> orders)
 {
     if (m_impl->stopped) {
         return StorageError{StorageErrorKind::Stopped, "an earlier write to " + m_impl->folder + " failed"};
--- a/src/storage/logstoreimpl.h
+++ b/src/storage/logstoreimpl.h
@@ -88,7 +88,7 @@
     std::optional<StorageError> store(const control::TruncateLog &order);
     std::optional<StorageError> store(const control::CompactLog &order);
     std::optional<StorageError> store(const StoreSnapshot &order);
-    std::optional<StorageError> writeOrders(std::span<const StorageOrder> orders);
+    std::optional<StorageError> writeOrders(std::span<const StorageWrite> orders);
 
     std::optional<StorageError> removeOldSnapshots(LogIndex newest);
     std::optional<StorageError> readVoteFile(const std::vector<std::string> &names, control::DurableLog &content);
--- a/src/storage/logwriter.cpp
+++ b/src/storage/logwriter.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::chrono::seconds idleWait(1); // the ring wakes the thread; the limit only bounds a wait
 
-control::WriteNumber writeNumber(const StorageOrder &order)
+control::WriteNumber writeNumber(const StorageWrite &order)
 {
     return std::visit(
         [](const auto &content) {
@@ -40,20 +40,20 @@
     m_thread.join();
 }
 
-bool LogWriter::tryPush(StorageOrder &order)
+bool LogWriter::tryPush(StorageWrite &order)
 {
     Element element = std::move(order);
     if (m_ring.tryPush(element)) {
         return true;
     }
-    order = std::move(std::get<StorageOrder>(element));
+    order = std::move(std::get<StorageWrite>(element));
     return false;
 }
 
 void LogWriter::run()
 {
     std::vector<Element> taken;
-    std::vector<StorageOrder> orders;
+    std::vector<StorageWrite> orders;
     bool stopping = false;
     bool failed = false;
     while (!stopping) {
@@ -61,7 +61,7 @@
         orders.clear();
         m_ring.waitAndTake(taken, idleWait);
         for (Element &element : taken) {
-            if (auto *order = std::get_if<StorageOrder>(&element)) {
+            if (auto *order = std::get_if<StorageWrite>(&element)) {
                 orders.push_back(std::move(*order));
             } else {
                 stopping = true;
@@ -76,7 +76,7 @@
             continue;
         }
         control::WriteNumber last = 0;
-        for (StorageOrder &order : orders) {
+        for (StorageWrite &order : orders) {
             last = std::max(last, writeNumber(order));
             if (auto *snapshot = std::get_if<StoreSnapshot>(&order)) {
                 m_report(SnapshotStored{snapshot->point.index, snapshot->replacesLog, std::move(snapshot->data)});
--- a/tests/control/cluster.cpp
+++ b/tests/control/cluster.cpp
@@ -35,7 +35,7 @@
     return GrantKey{"key" + std::to_string(number), "one", hash};
 }
 
-std::string joined(const std::vector<std::string> &lines)
+std::string joinLines(const std::vector<std::string> &lines)
 {
     std::string text;
     for (const std::string &line : lines) {
@@ -45,10 +45,10 @@
 }
 
 /** Random faults and clients for some seconds, then a quiet end. */
-class Storm
+class RandomFaultRun
 {
 public:
-    explicit Storm(const SimulationOptions &options) : simulation(options), m_options(options)
+    explicit RandomFaultRun(const SimulationOptions &options) : simulation(options), m_options(options)
     {
     }
 
@@ -58,14 +58,14 @@
         for (unsigned round = 0; round < rounds; ++round) {
             // Between two faults the voters need time for an election, or nothing is ever committed.
             if (round % 4 == 0) {
-                doFault();
+                injectFault();
             }
             for (unsigned client = 1; client <= 6; ++client) {
-                doOperation(client);
+                submitOperation(client);
             }
             simulation.runFor(milliseconds(20 + simulation.random() % 200));
         }
-        simulation.heal();
+        simulation.restoreLinks();
         simulation.setFaults(0, 0);
         for (unsigned id = 1; id <= m_options.voters; ++id) {
             simulation.start(static_cast<VoterId>(id));
@@ -73,7 +73,7 @@
     }
 
     /** All clients have their answers and all voters the same state. */
-    bool settles()
+    bool settle()
     {
         return simulation.runUntil(
             [this] {
@@ -85,31 +85,31 @@
     Simulation simulation;
 
 private:
-    VoterId anyVoter()
+    VoterId randomVoter()
     {
         return static_cast<VoterId>(1 + simulation.random() % m_options.voters);
     }
 
-    void doFault()
+    void injectFault()
     {
         switch (simulation.random() % 12) {
         case 0:
-            simulation.crash(anyVoter());
+            simulation.crash(randomVoter());
             break;
         case 1:
         case 2:
-            simulation.crashOnDisk(anyVoter(), 1 + simulation.random() % 30);
+            simulation.crashDuringDiskOperation(randomVoter(), 1 + simulation.random() % 30);
             break;
         case 3: { // one voter isolated
-            const VoterId alone = anyVoter();
+            const VoterId isolated = randomVoter();
             for (unsigned id = 1; id <= m_options.voters; ++id) {
-                simulation.cut(alone, static_cast<VoterId>(id));
-                simulation.cut(static_cast<VoterId>(id), alone);
+                simulation.cutLink(isolated, static_cast<VoterId>(id));
+                simulation.cutLink(static_cast<VoterId>(id), isolated);
             }
             break;
         }
         case 4: // a link that works in one direction
-            simulation.cut(anyVoter(), anyVoter());
+            simulation.cutLink(randomVoter(), randomVoter());
             break;
         case 5: // power loss of a majority at once
             for (unsigned id = 1; id <= m_options.voters / 2 + 1; ++id) {
@@ -119,14 +119,14 @@
         case 6:
         case 7:
         case 8:
-            simulation.heal();
+            simulation.restoreLinks();
             break;
         default:
             break;
         }
     }
 
-    void doOperation(unsigned client)
+    void submitOperation(unsigned client)
     {
         auto &last = m_last[client];
         if (last && !simulation.operation(*last).done) {
@@ -157,7 +157,7 @@
     std::uint64_t m_keys = 0;
 };
 
-void runStorms(unsigned voters)
+void runRandomFaults(unsigned voters)
 {
     constexpr unsigned runs = 200;
     LogIndex committed = 0;
@@ -167,15 +167,15 @@
         SimulationOptions options;
         options.seed = seed;
         options.voters = voters;
-        Storm storm(options);
-        storm.run(120);
-        const bool settled = storm.settles();
-        storm.simulation.checkHistory();
-        INFO(joined(storm.simulation.violations()));
-        REQUIRE(storm.simulation.violations().empty());
+        RandomFaultRun faultRun(options);
+        faultRun.run(120);
+        const bool settled = faultRun.settle();
+        faultRun.simulation.checkHistory();
+        INFO(joinLines(faultRun.simulation.violations()));
+        REQUIRE(faultRun.simulation.violations().empty());
         REQUIRE(settled);
-        committed += storm.simulation.committed();
-        installed += storm.simulation.installedSnapshots;
+        committed += faultRun.simulation.committed();
+        installed += faultRun.simulation.installedSnapshots;
     }
     std::cout << "voters " << voters << ", seeds from " << firstSeed << ": " << runs << " runs, " << committed << " entries committed, " << installed
               << " snapshots installed\n";
@@ -190,12 +190,12 @@
 // explains, under lost, doubled and reordered messages, partitions, one-way links, crashes and lost unsynced writes.
 TEST_CASE("3 voters agree under random faults")
 {
-    runStorms(3);
+    runRandomFaults(3);
 }
 
 TEST_CASE("5 voters agree under random faults")
 {
-    runStorms(5);
+    runRandomFaults(5);
 }
 
 // Guards against a checker that accepts everything: each of these faults is known to lose data.
@@ -204,21 +204,21 @@
     SimulationOptions options;
     SECTION("entries acknowledged before they are durable")
     {
-        options.acknowledgesBeforeSync = true;
+        options.acknowledgesEntriesBeforeSync = true;
     }
     SECTION("votes acknowledged before they are durable")
     {
-        options.forgetsVote = true;
+        options.acknowledgesVoteBeforeSync = true;
     }
     unsigned found = 0;
     for (std::uint64_t seed = firstSeed; seed < firstSeed + 60 && found == 0; ++seed) {
         options.seed = seed;
-        options.longestSync = milliseconds(60);
-        Storm storm(options);
-        storm.run(120);
-        storm.settles();
-        storm.simulation.checkHistory();
-        found += storm.simulation.violations().empty() ? 0 : 1;
+        options.maximumSyncDelay = milliseconds(60);
+        RandomFaultRun faultRun(options);
+        faultRun.run(120);
+        faultRun.settle();
+        faultRun.simulation.checkHistory();
+        found += faultRun.simulation.violations().empty() ? 0 : 1;
     }
     REQUIRE(found > 0);
 }
@@ -261,7 +261,7 @@
         REQUIRE(state.configuration.keys.size() == 500);
         REQUIRE_FALSE(firstBrokenRecord(state.audit));
     }
-    REQUIRE(joined(simulation.violations()).empty());
+    REQUIRE(joinLines(simulation.violations()).empty());
 }
 
 // Guards against data loss when a voter is lost right after the replacement of another one has joined.
@@ -289,21 +289,21 @@
 
     simulation.addNode(VoterId{4});
     simulation.start(VoterId{4});
-    const auto joined4 = [](ConsensusState &state, TimePoint now, ConsensusActions &actions) {
+    const auto addVoter4 = [](ConsensusState &state, TimePoint now, ConsensusActions &actions) {
         return proposeMember(state, {VoterId{4}, "10.0.0.4:7000", false}, now, actions);
     };
-    REQUIRE(std::holds_alternative<ProposalAccepted>(simulation.change(joined4)));
-    REQUIRE(std::get<ProposalRejected>(simulation.change(joined4)).error == ProposalError::ChangeInProgress);
+    REQUIRE(std::holds_alternative<ProposalAccepted>(simulation.change(addVoter4)));
+    REQUIRE(std::get<ProposalRejected>(simulation.change(addVoter4)).error == ProposalError::ChangeInProgress);
     const auto hasVote = [&simulation] {
         const auto *leader = simulation.leader();
         return leader != nullptr && leader->consensus.membersIndex <= leader->consensus.commitIndex && leader->consensus.members.size() == 4
                && !leader->consensus.members.back().learner;
     };
     REQUIRE(simulation.runUntil(hasVote, seconds(20)));
-    const auto remove1 = [](ConsensusState &state, TimePoint now, ConsensusActions &actions) {
+    const auto removeVoter1 = [](ConsensusState &state, TimePoint now, ConsensusActions &actions) {
         return proposeRemoval(state, VoterId{1}, now, actions);
     };
-    REQUIRE(std::holds_alternative<ProposalAccepted>(simulation.change(remove1)));
+    REQUIRE(std::holds_alternative<ProposalAccepted>(simulation.change(removeVoter1)));
     REQUIRE(simulation.runUntil(
         [&simulation] {
             const auto *leader = simulation.leader();
@@ -319,7 +319,7 @@
         seconds(20)));
     REQUIRE(simulation.operation(read).keys.size() == 100);
     simulation.checkHistory();
-    REQUIRE(joined(simulation.violations()).empty());
+    REQUIRE(joinLines(simulation.violations()).empty());
 }
 
 // Guards against two bundles accepted under one version number, and a conflict that does not name the winner.
--- a/tests/control/consensus.cpp
+++ b/tests/control/consensus.cpp
@@ -12,7 +12,7 @@
 constexpr VoterId two{2};
 constexpr VoterId three{3};
 
-ConsensusState voter(VoterId id)
+ConsensusState makeVoter(VoterId id)
 {
     return makeConsensus(id, {}, {}, {{one, "", false}, {two, "", false}, {three, "", false}}, 20261204, start);
 }
@@ -47,9 +47,9 @@
 }
 
 /** Voter 1 as the leader of term 1 at @p now, with everything durable. */
-ConsensusState leaderAt(TimePoint &now)
+ConsensusState makeLeader(TimePoint &now)
 {
-    ConsensusState state = voter(one);
+    ConsensusState state = makeVoter(one);
     ConsensusActions actions;
     now = start + milliseconds(700);
     tick(state, now, actions);
@@ -69,8 +69,8 @@
 // against a leader that others hear.
 TEST_CASE("a voter that loses the connections to its leader stands for election soon")
 {
-    constexpr Duration spread = milliseconds(100);
-    ConsensusState state = voter(two);
+    constexpr Duration maximumDelay = milliseconds(100);
+    ConsensusState state = makeVoter(two);
     ConsensusActions actions;
     TimePoint now = start + milliseconds(100);
     receive(state, one, AppendRequest{1, 0, 0, 0, 1, {}}, now, actions);
@@ -80,17 +80,17 @@
 
     SECTION("it asks the others")
     {
-        voterDisconnected(state, one, spread, now);
-        now += spread;
+        voterDisconnected(state, one, maximumDelay, now);
+        now += maximumDelay;
         tick(state, now, actions);
         REQUIRE(messagesOf<VoteRequest>(actions).size() == 2);
         CHECK(messagesOf<VoteRequest>(actions)[0].preVote);
     }
     SECTION("it stays when another voter was lost")
     {
-        voterDisconnected(state, three, spread, now);
-        hurryElection(state, spread, now);
-        now += spread;
+        voterDisconnected(state, three, maximumDelay, now);
+        expediteElection(state, maximumDelay, now);
+        now += maximumDelay;
         tick(state, now, actions);
         CHECK(messagesOf<VoteRequest>(actions).empty());
     }
@@ -105,7 +105,7 @@
 // Guards against a voter that forgets in a crash what it told others.
 TEST_CASE("messages wait for the durable vote")
 {
-    ConsensusState state = voter(two);
+    ConsensusState state = makeVoter(two);
     ConsensusActions actions;
     receive(state, one, VoteRequest{1, 0, 0, false}, start, actions);
     REQUIRE(actionsOf<SaveVote>(actions).back().vote == one);
@@ -134,7 +134,7 @@
 // Guards against a voter with a bad link that deposes a working leader again and again.
 TEST_CASE("no vote while a leader is heard")
 {
-    ConsensusState state = voter(two);
+    ConsensusState state = makeVoter(two);
     ConsensusActions actions;
     receive(state, one, AppendRequest{1, 0, 0, 0, 1, {}}, start, actions);
     logSynced(state, state.lastWrite, start, actions);
@@ -153,7 +153,7 @@
 TEST_CASE("a leader")
 {
     TimePoint now{};
-    ConsensusState state = leaderAt(now);
+    ConsensusState state = makeLeader(now);
     ConsensusActions actions;
 
     // Guards against a commit that a power loss takes back.
@@ -177,7 +177,7 @@
         }
         REQUIRE(state.role != VoterRole::Leader);
         REQUIRE(actionsOf<LostLeadership>(actions).size() == 1);
-        REQUIRE(actionsOf<ReadRejected>(actions).at(0).read == read);
+        REQUIRE(actionsOf<ReadRejected>(actions).at(0).readId == read);
         REQUIRE(std::get<ProposalRejected>(propose(state, {}, now, actions)).error == ProposalError::NotLeader);
     }
     // Guards against a renewal that rests on a reply from before the request.
@@ -190,14 +190,14 @@
         tick(state, now, actions);
         REQUIRE(messagesOf<AppendRequest>(actions).back().round == before + 1);
         receive(state, two, AppendReply{1, before + 1, true, 1}, now, actions);
-        REQUIRE(actionsOf<ReadConfirmed>(actions).at(0).read == read);
+        REQUIRE(actionsOf<ReadConfirmed>(actions).at(0).readId == read);
     }
     // Guards against memory that grows while no majority answers.
     SECTION("rejects what it cannot hold")
     {
-        const std::vector<SharedBytes> many(state.options.uncommittedEntries + 1, payload());
+        const std::vector<SharedBytes> many(state.options.maximumUncommittedEntries + 1, payload());
         REQUIRE(std::get<ProposalRejected>(propose(state, many, now, actions)).error == ProposalError::Overloaded);
-        const std::vector<SharedBytes> large{std::make_shared<const Bytes>(state.options.entryBytes + 1)};
+        const std::vector<SharedBytes> large{std::make_shared<const Bytes>(state.options.maximumEntryBytes + 1)};
         REQUIRE(std::get<ProposalRejected>(propose(state, large, now, actions)).error == ProposalError::TooLarge);
     }
     // Guards against a membership without voters, and members that are added twice.
@@ -232,7 +232,7 @@
 // Guards against an acknowledgement of new entries by the late report about the ones that they replaced.
 TEST_CASE("a report about replaced entries does not count")
 {
-    ConsensusState state = voter(two);
+    ConsensusState state = makeVoter(two);
     ConsensusActions actions;
     std::vector<LogEntry> entries{{1, 1, EntryKind::Empty, nullptr, {}}, {2, 1, EntryKind::Command, payload(), {}}, {3, 1, EntryKind::Command, payload(), {}}};
     receive(state, one, AppendRequest{1, 0, 0, 0, 1, entries}, start, actions);
@@ -253,7 +253,7 @@
 // Guards against entries that were acknowledged and vanish when a late snapshot arrives.
 TEST_CASE("a late snapshot keeps the log behind it")
 {
-    ConsensusState state = voter(two);
+    ConsensusState state = makeVoter(two);
     ConsensusActions actions;
     std::vector<LogEntry> entries;
     for (LogIndex i = 1; i <= 5; ++i) {
--- a/tests/control/simulation.cpp
+++ b/tests/control/simulation.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration tickInterval = milliseconds(10);
-constexpr Duration clientPatience = milliseconds(400);
+constexpr Duration clientTimeout = milliseconds(400);
 constexpr unsigned maximumTries = 1000;
 
 Membership voters(unsigned count)
@@ -57,8 +57,8 @@
 
 void Simulation::scheduleFor(Node &node, Duration delay, std::function<void(Node &)> run)
 {
-    schedule(delay, [&node, life = node.life, run = std::move(run)] {
-        if (node.running && node.life == life) {
+    schedule(delay, [&node, incarnation = node.incarnation, run = std::move(run)] {
+        if (node.running && node.incarnation == incarnation) {
             run(node);
         }
     });
@@ -121,10 +121,10 @@
     }
     node.consensus = makeConsensus(id, {}, std::move(log.content), node.firstMembers, random(), m_now);
     node.consensus.options.keptEntries = 10;
-    node.consensus.options.chunkBytes = 700;
-    node.snapshotAt = node.consensus.snapshot.index;
+    node.consensus.options.snapshotChunkBytes = 700;
+    node.lastSnapshotIndex = node.consensus.snapshot.index;
     node.running = true;
-    ++node.life;
+    ++node.incarnation;
     tickNode(node);
 }
 
@@ -135,8 +135,8 @@
         return;
     }
     node.running = false;
-    ++node.life;
-    node.orders.clear();
+    ++node.incarnation;
+    node.unflushedWrites.clear();
     node.flushScheduled = false;
     node.proposals.clear();
     node.reads.clear();
@@ -149,21 +149,21 @@
     }
 }
 
-void Simulation::crashOnDisk(VoterId id, std::uint64_t steps)
+void Simulation::crashDuringDiskOperation(VoterId id, std::uint64_t steps)
 {
     Node &node = *m_nodes.at(id);
     node.files.fault = Fault::Crash;
     node.files.faultAt = node.files.operations + steps;
 }
 
-void Simulation::cut(VoterId from, VoterId to)
+void Simulation::cutLink(VoterId from, VoterId to)
 {
-    m_cut[{from, to}] = true;
+    m_cutLinks[{from, to}] = true;
 }
 
-void Simulation::heal()
+void Simulation::restoreLinks()
 {
-    m_cut.clear();
+    m_cutLinks.clear();
 }
 
 void Simulation::setFaults(double loss, double duplication)
@@ -186,30 +186,30 @@
 
 void Simulation::process(Node &node, ConsensusActions actions)
 {
-    WriteNumber early = 0;
+    WriteNumber acknowledgedWrite = 0;
     for (ConsensusAction &action : actions) {
         if (auto *send = std::get_if<SendToVoter>(&action)) {
             sendMessage(node, *send);
         } else if (auto *vote = std::get_if<SaveVote>(&action)) {
-            early = m_options.forgetsVote ? vote->write : early;
-            node.orders.emplace_back(*vote);
+            acknowledgedWrite = m_options.acknowledgesVoteBeforeSync ? vote->write : acknowledgedWrite;
+            node.unflushedWrites.emplace_back(*vote);
         } else if (auto *append = std::get_if<AppendLog>(&action)) {
-            early = m_options.acknowledgesBeforeSync ? append->write : early;
-            node.orders.emplace_back(std::move(*append));
+            acknowledgedWrite = m_options.acknowledgesEntriesBeforeSync ? append->write : acknowledgedWrite;
+            node.unflushedWrites.emplace_back(std::move(*append));
         } else if (auto *truncate = std::get_if<TruncateLog>(&action)) {
-            node.orders.emplace_back(*truncate);
+            node.unflushedWrites.emplace_back(*truncate);
         } else if (auto *compact = std::get_if<CompactLog>(&action)) {
-            node.orders.emplace_back(*compact);
+            node.unflushedWrites.emplace_back(*compact);
         } else if (auto *snapshot = std::get_if<InstallSnapshot>(&action)) {
             install(node, *snapshot);
         } else if (auto *apply = std::get_if<ApplyEntries>(&action)) {
             applyEntries(node, apply->entries);
-        } else if (auto *won = std::get_if<BecameLeader>(&action)) {
-            checkLeader(node, won->term);
+        } else if (auto *elected = std::get_if<BecameLeader>(&action)) {
+            checkLeader(node, elected->term);
         } else if (std::holds_alternative<LostLeadership>(action)) {
             node.proposals.clear();
         } else if (auto *confirmed = std::get_if<ReadConfirmed>(&action)) {
-            const auto read = node.reads.find(confirmed->read);
+            const auto read = node.reads.find(confirmed->readId);
             if (read != node.reads.end()) {
                 answer(read->second, [&node, confirmed](Operation &operation) {
                     operation.index = confirmed->index;
@@ -221,13 +221,13 @@
                 node.reads.erase(read);
             }
         } else if (auto *rejected = std::get_if<ReadRejected>(&action)) {
-            node.reads.erase(rejected->read);
+            node.reads.erase(rejected->readId);
         }
     }
     scheduleFlush(node);
-    if (early != 0) {
+    if (acknowledgedWrite != 0) {
         ConsensusActions more;
-        logSynced(node.consensus, early, m_now, more);
+        logSynced(node.consensus, acknowledgedWrite, m_now, more);
         process(node, std::move(more));
     }
 }
@@ -237,10 +237,10 @@
     const Bytes bytes = link::encode(action.message);
     const unsigned copies = chance(m_options.duplication) ? 2 : 1;
     for (unsigned i = 0; i < copies; ++i) {
-        if (m_cut.contains({node.id, action.to}) || chance(m_options.loss) || !m_nodes.contains(action.to)) {
+        if (m_cutLinks.contains({node.id, action.to}) || chance(m_options.loss) || !m_nodes.contains(action.to)) {
             continue;
         }
-        schedule(delay(m_options.longestDelay), [this, bytes, from = node.id, to = action.to] {
+        schedule(delay(m_options.maximumMessageDelay), [this, bytes, from = node.id, to = action.to] {
             Node &receiver = *m_nodes.at(to);
             if (!receiver.running) {
                 return;
@@ -261,8 +261,8 @@
 {
     for (const LogEntry &entry : entries) {
         const std::pair value(entry.term, content(entry));
-        const auto [place, isNew] = m_committed.try_emplace(entry.index, value);
-        if (!isNew && place->second != value) {
+        const auto [position, isNew] = m_committed.try_emplace(entry.index, value);
+        if (!isNew && position->second != value) {
             violation("entry " + std::to_string(entry.index) + " was committed twice with different content");
         }
         if (entry.index != node.state.appliedIndex + 1) {
@@ -276,8 +276,8 @@
         } else {
             skipEntry(node.state, entry.index);
         }
-        constexpr LogIndex checkEvery = 7;
-        if (entry.index % checkEvery == 0) {
+        constexpr LogIndex comparisonInterval = 7;
+        if (entry.index % comparisonInterval == 0) {
             const auto [known, first] = m_states.try_emplace(entry.index, encodeSnapshot(node.state));
             if (!first && known->second != encodeSnapshot(node.state)) {
                 violation("the state after entry " + std::to_string(entry.index) + " differs between voters");
@@ -285,9 +285,9 @@
         }
         finishProposals(node, entry.index, entry.term, result);
     }
-    if (node.state.appliedIndex >= node.snapshotAt + m_options.snapshotEvery) {
-        node.snapshotAt = node.state.appliedIndex;
-        node.orders.emplace_back(storage::StoreSnapshot{
+    if (node.state.appliedIndex >= node.lastSnapshotIndex + m_options.snapshotInterval) {
+        node.lastSnapshotIndex = node.state.appliedIndex;
+        node.unflushedWrites.emplace_back(storage::StoreSnapshot{
             0, snapshotPoint(node.consensus, node.state.appliedIndex), std::make_shared<const Bytes>(encodeSnapshot(node.state)), false});
     }
 }
@@ -311,19 +311,19 @@
 {
     if (std::holds_alternative<SnapshotError>(decodeSnapshot(*action.data))) {
         violation("a received snapshot is damaged");
-        snapshotRefused(node.consensus);
+        snapshotRejected(node.consensus);
         return;
     }
-    node.orders.emplace_back(storage::StoreSnapshot{action.write, action.point, action.data, true});
+    node.unflushedWrites.emplace_back(storage::StoreSnapshot{action.write, action.point, action.data, true});
 }
 
 void Simulation::scheduleFlush(Node &node)
 {
-    if (!node.running || node.flushScheduled || node.orders.empty()) {
+    if (!node.running || node.flushScheduled || node.unflushedWrites.empty()) {
         return;
     }
     node.flushScheduled = true;
-    scheduleFor(node, delay(m_options.longestSync), [this](Node &self) {
+    scheduleFor(node, delay(m_options.maximumSyncDelay), [this](Node &self) {
         flush(self);
     });
 }
@@ -331,24 +331,24 @@
 void Simulation::flush(Node &node)
 {
     node.flushScheduled = false;
-    const std::vector<storage::StorageOrder> orders = std::move(node.orders);
-    node.orders.clear();
-    if (node.store->write(orders)) {
+    const std::vector<storage::StorageWrite> writes = std::move(node.unflushedWrites);
+    node.unflushedWrites.clear();
+    if (node.store->write(writes)) {
         crash(node.id);
         return;
     }
     ConsensusActions actions;
     WriteNumber last = 0;
-    for (const storage::StorageOrder &order : orders) {
+    for (const storage::StorageWrite &storageWrite : writes) {
         std::visit(
             [&last](const auto &content) {
                 last = std::max(last, content.write);
             },
-            order);
-        const auto *snapshot = std::get_if<storage::StoreSnapshot>(&order);
+            storageWrite);
+        const auto *snapshot = std::get_if<storage::StoreSnapshot>(&storageWrite);
         if (snapshot != nullptr && snapshot->replacesLog) {
             node.state = std::move(std::get<ControlState>(decodeSnapshot(*snapshot->data)));
-            node.snapshotAt = snapshot->point.index;
+            node.lastSnapshotIndex = snapshot->point.index;
             ++installedSnapshots;
             snapshotInstalled(node.consensus, snapshot->point.index, m_now, actions);
         } else if (snapshot != nullptr) {
@@ -404,7 +404,7 @@
             }
         }
         process(node, std::move(actions));
-        schedule(clientPatience, [this, number, tries] {
+        schedule(clientTimeout, [this, number, tries] {
             attempt(number, tries + 1);
         });
         return;
@@ -472,7 +472,7 @@
 
 void Simulation::checkLeader(Node &node, Term term)
 {
-    const auto [place, isNew] = m_leaders.try_emplace(term, node.id);
+    const auto [position, isNew] = m_leaders.try_emplace(term, node.id);
     if (!isNew) {
         violation("two leaders in term " + std::to_string(term));
     }
--- a/tests/control/simulation.h
+++ b/tests/control/simulation.h
@@ -25,11 +25,11 @@
     unsigned voters = 3;
     double loss = 0.02; /**< Part of the messages that get lost. */
     double duplication = 0.02;
-    Duration longestDelay = milliseconds(8); /**< Of a message; different delays reorder. */
-    Duration longestSync = milliseconds(4);
-    LogIndex snapshotEvery = 25; /**< Entries between snapshots. */
-    bool acknowledgesBeforeSync = false; /**< The deliberate fault that the checker must find. */
-    bool forgetsVote = false; /**< Another one: the vote is reported durable before it is. */
+    Duration maximumMessageDelay = milliseconds(8); /**< Of a message; different delays reorder. */
+    Duration maximumSyncDelay = milliseconds(4);
+    LogIndex snapshotInterval = 25; /**< Entries between snapshots. */
+    bool acknowledgesEntriesBeforeSync = false; /**< The deliberate fault that the checker must find. */
+    bool acknowledgesVoteBeforeSync = false; /**< Another one: the vote is reported durable before it is. */
 };
 
 /** What a client asked for and what became of it. */
@@ -59,10 +59,10 @@
         ConsensusState consensus;
         ControlState state;
         bool running = false;
-        std::uint64_t life = 0; /**< Counts restarts; events of an earlier life are dropped. */
-        std::vector<storage::StorageOrder> orders;
+        std::uint64_t incarnation = 0; /**< Counts restarts; events of an earlier life are dropped. */
+        std::vector<storage::StorageWrite> unflushedWrites;
         bool flushScheduled = false;
-        LogIndex snapshotAt = 0;
+        LogIndex lastSnapshotIndex = 0;
         std::map<LogIndex, std::pair<Term, std::size_t>> proposals; /**< Operations waiting for their entry. */
         std::map<std::uint64_t, std::size_t> reads;
         Membership firstMembers;
@@ -76,11 +76,11 @@
 
     void crash(VoterId id, bool restarts = true);
     /** Crashes in the middle of the @p steps th next operation on the disk. */
-    void crashOnDisk(VoterId id, std::uint64_t steps);
+    void crashDuringDiskOperation(VoterId id, std::uint64_t steps);
     void start(VoterId id);
     Node &addNode(VoterId id);
-    void cut(VoterId from, VoterId to);
-    void heal();
+    void cutLink(VoterId from, VoterId to);
+    void restoreLinks();
     void setFaults(double loss, double duplication);
 
     /** The client asks @p target or, after no answer, others, under the same command id. */
@@ -153,7 +153,7 @@
     std::uint64_t m_eventNumber = 0;
     std::priority_queue<Event> m_events;
     std::map<VoterId, std::unique_ptr<Node>> m_nodes;
-    std::map<std::pair<VoterId, VoterId>, bool> m_cut;
+    std::map<std::pair<VoterId, VoterId>, bool> m_cutLinks;
     std::vector<Operation> m_operations;
     std::uint64_t m_lastCommand = 0;
 
--- a/tests/coordination/fakefleet.h
+++ b/tests/coordination/fakefleet.h
@@ -231,7 +231,7 @@
     {
         if (auto *message = std::get_if<SendMessage>(&action)) {
             m_envelopes.push_back({m_now + step, name, message->peer, m_nodes.at(message->peer).options.incarnation, std::move(message->message)});
-        } else if (auto *order = std::get_if<StorageOrder>(&action)) {
+        } else if (auto *order = std::get_if<StorageWrite>(&action)) {
             store(node, *order, newActions);
         } else if (const auto *changed = std::get_if<ConfigurationChanged>(&action)) {
             // A configuration that an instance has applied never reverts to an older one (P14).
@@ -246,7 +246,7 @@
         }
     }
 
-    void store(Node &node, StorageOrder &order, Actions &newActions)
+    void store(Node &node, StorageWrite &order, Actions &newActions)
     {
         control::DurableLog &disk = node.disk;
         if (const auto *vote = std::get_if<control::SaveVote>(&order)) {
--- a/tests/storage/faults.cpp
+++ b/tests/storage/faults.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint64_t seed = 20261204;
 
 /** Groups of a short life of a voter: votes, entries, a change of history, snapshots, compaction. */
-std::vector<std::vector<StorageOrder>> script()
+std::vector<std::vector<StorageWrite>> script()
 {
     const auto data = std::make_shared<const Bytes>(Bytes(50, 7));
     const Membership members{{VoterId{1}, "10.0.0.1:7000", false}};
@@ -192,10 +192,10 @@
     {
         {
             LogWriter writer(openLog(files).store, 8, report);
-            StorageOrder vote = SaveVote{1, 1, VoterId{1}};
+            StorageWrite vote = SaveVote{1, 1, VoterId{1}};
             REQUIRE(writer.tryPush(vote));
             for (LogIndex i = 1; i <= 50; ++i) {
-                StorageOrder order = AppendLog{i + 1, {entry(i, 1)}};
+                StorageWrite order = AppendLog{i + 1, {entry(i, 1)}};
                 while (!writer.tryPush(order)) {
                     std::this_thread::yield();
                 }
@@ -212,10 +212,10 @@
         files.faultAt = 6;
         {
             LogWriter writer(openLog(files).store, 100, report);
-            StorageOrder vote = SaveVote{1, 1, VoterId{1}};
+            StorageWrite vote = SaveVote{1, 1, VoterId{1}};
             REQUIRE(writer.tryPush(vote));
             for (LogIndex i = 1; i <= 20; ++i) {
-                StorageOrder order = AppendLog{i + 1, {entry(i, 1)}};
+                StorageWrite order = AppendLog{i + 1, {entry(i, 1)}};
                 REQUIRE(writer.tryPush(order));
             }
         }
--- a/tests/storage/helpers.h
+++ b/tests/storage/helpers.h
@@ -36,7 +36,7 @@
     return std::nullopt;
 }
 
-inline std::optional<StorageError> write(LogStore &store, std::vector<StorageOrder> orders)
+inline std::optional<StorageError> write(LogStore &store, std::vector<StorageWrite> orders)
 {
     return store.write(orders);
 }
--- a/tests/storage/logstore.cpp
+++ b/tests/storage/logstore.cpp
@@ -49,7 +49,7 @@
     {
         REQUIRE_FALSE(write(*log.store, {SaveVote{1, 1, VoterId{1}}}));
         const auto before = files.syncs;
-        std::vector<StorageOrder> group;
+        std::vector<StorageWrite> group;
         for (LogIndex i = 1; i <= 100; ++i) {
             group.emplace_back(AppendLog{i, {entry(i, 1)}});
         }
