--- a/include/mimosahollow/control/consensus.h
+++ b/include/mimosahollow/control/consensus.h
@@ -7,19 +7,19 @@
 
 namespace mimosahollow::control {
 
-/** What storage holds when a voter starts. */
+/** Persistent state of a voter, as read from storage at start-up. */
 struct DurableLog
 {
     Term term = 0;
     VoterId vote{};
     SnapshotPoint snapshot;
-    SharedBytes snapshotData; /**< Null when there is no snapshot. */
-    std::vector<LogEntry> entries; /**< In order; the first one is at most snapshot.index + 1. */
+    SharedBytes snapshotData; /**< Null if there is no snapshot. */
+    std::vector<LogEntry> entries; /**< Consecutive; the first index is at most snapshot.index + 1. */
 };
 
 /**
- * Drops the entries when they do not continue the snapshot: they end before it, or have another term at its index.
- * Returns whether it dropped them; storage then starts a new log after the snapshot.
+ * Discards the entries if they do not continue the snapshot: they end before its index, or the entry at its index has another term.
+ * Returns true if they were discarded; storage must then start a new log after the snapshot.
  */
 bool alignWithSnapshot(DurableLog &durable);
 
@@ -27,7 +27,7 @@
     NotLeader,
     TooLarge,
     Overloaded,
-    ChangeInProgress, /**< Another membership change is not committed yet. */
+    ChangeInProgress, /**< An earlier membership change, or the first entry of the leader's term, is not committed yet. */
     UnknownMember,
     AlreadyMember,
     LastVoter,
@@ -38,68 +38,68 @@
 struct ProposalRejected
 {
     ProposalError error{};
-    VoterId leader{}; /**< Where to send the proposal, 0 when not known. */
+    VoterId leader{}; /**< Voter to send the proposal to; 0 if unknown. */
 };
 
-/** Place of the proposal in the log. It has succeeded when ApplyEntries has an entry with this index and this term. */
+/** Log position of a proposal. The proposal is committed once ApplyEntries contains an entry with this index and this term. */
 struct ProposalAccepted
 {
-    LogIndex index = 0; /**< Of the last one when several were proposed together. */
+    LogIndex index = 0; /**< Index of the last entry if several were proposed together. */
     Term term = 0;
 };
 
 using ProposalResult = std::variant<ProposalAccepted, ProposalRejected>;
 
 /**
- * Starts a voter from what storage holds. @p firstMembers is the membership of a new fleet; a voter that is to join an
- * existing fleet starts without members and waits for the leader.
+ * Creates the state of a voter from its persistent state. @p firstMembers is the initial membership of a new fleet; a voter
+ * that joins an existing fleet starts with an empty membership and waits for the leader to contact it.
  */
 [[nodiscard]] ConsensusState
 makeConsensus(VoterId self, const ConsensusOptions &options, DurableLog durable, Membership firstMembers, std::uint64_t seed, TimePoint now);
 
-/** Handles @p message of @p from. */
+/** Handles a message received from voter @p from. */
 void receive(ConsensusState &state, VoterId from, const ConsensusMessage &message, TimePoint now, ConsensusActions &actions);
 
-/** Handles the passing of time. Call about every 10 ms. */
+/** Runs election and heartbeat timers. Call about every 10 ms. */
 void tick(ConsensusState &state, TimePoint now, ConsensusActions &actions);
 
-/** Brings the next election of a voter that hears no leader forward, to a random time within @p maximumDelay. */
+/** If this voter has no contact with a leader, moves its election deadline forward to a random time within @p maximumDelay. */
 void expediteElection(ConsensusState &state, Duration maximumDelay, TimePoint now);
 
-/** All connections to @p voter are closed. When it leads, this voter no longer counts as one that hears it. */
+/** Reports that all connections to @p voter are closed. If it is the leader, contact with it counts as lost and the election is expedited. */
 void voterDisconnected(ConsensusState &state, VoterId voter, Duration maximumDelay, TimePoint now);
 
-/** Appends one Command entry for each payload. */
+/** Proposes one Command entry per payload. */
 [[nodiscard]] ProposalResult propose(ConsensusState &state, std::span<const SharedBytes> payloads, TimePoint now, ConsensusActions &actions);
 
-/** Adds a member as a learner; the leader gives it a vote once it has caught up. */
+/** Proposes a new member. It joins as a learner; the leader promotes it to a voter once it has caught up. */
 [[nodiscard]] ProposalResult proposeMember(ConsensusState &state, Member member, TimePoint now, ConsensusActions &actions);
 [[nodiscard]] ProposalResult proposeRemoval(ConsensusState &state, VoterId member, TimePoint now, ConsensusActions &actions);
 
-/** Storage reports that all writes up to @p write are durable. */
+/** Reports that all storage writes up to @p write are durable. */
 void logSynced(ConsensusState &state, WriteNumber write, TimePoint now, ConsensusActions &actions);
 
 /**
- * Asks for a confirmation that this voter still leads, by replies to messages sent after this call.
- * The returned number comes back in ReadConfirmed or ReadRejected.
+ * Starts a linearizable read: a majority must confirm this leader by replies to messages sent after this call.
+ * Returns the read's id, which ReadConfirmed or ReadRejected repeats.
  */
 [[nodiscard]] std::uint64_t requestRead(ConsensusState &state, ConsensusActions &actions);
 
-/** A snapshot of the state machine after entry @p index is durable; drops the entries that it replaces. */
+/** Reports that a snapshot of the state machine after entry @p index is durable. Entries that it replaces are dropped. */
 void snapshotTaken(ConsensusState &state, LogIndex index, SharedBytes data, ConsensusActions &actions);
 
-/** Membership and term at @p index, for a snapshot that is being made. @p index is at most appliedIndex. */
+/** Returns the term and membership at @p index, for a new snapshot. @p index must not exceed appliedIndex. */
 [[nodiscard]] SnapshotPoint snapshotPoint(const ConsensusState &state, LogIndex index);
 
-/** The snapshot of InstallSnapshot is durable and loaded. */
+/** Reports that the snapshot of an InstallSnapshot action is durable and loaded. */
 void snapshotInstalled(ConsensusState &state, LogIndex index, TimePoint now, ConsensusActions &actions);
 
-/** The snapshot of InstallSnapshot is damaged; the leader sends it again. */
+/** Reports that the snapshot of an InstallSnapshot action is damaged; the leader sends it again. */
 void snapshotRejected(ConsensusState &state);
 
 [[nodiscard]] LogIndex lastIndex(const ConsensusState &state) noexcept;
 
-/** Term of the entry at @p index; 0 when the entry is not in memory. */
+/** Returns the term of the entry at @p index; 0 if the term is not in memory. */
 [[nodiscard]] Term termAt(const ConsensusState &state, LogIndex index) noexcept;
 
 } // namespace mimosahollow::control
--- a/include/mimosahollow/control/consensusactions.h
+++ b/include/mimosahollow/control/consensusactions.h
@@ -14,13 +14,13 @@
     ConsensusMessage message;
 };
 
-// Writes to storage are carried out in the order of their numbers. logSynced() reports them once they are durable.
+// The caller carries out storage writes in the order of their numbers, and calls logSynced() once they are durable.
 
 struct SaveVote
 {
     WriteNumber write = 0;
     Term term = 0;
-    VoterId vote{}; /**< 0 when no vote was given in the term. */
+    VoterId vote{}; /**< Candidate voted for in the term; 0 if none. */
 };
 
 struct AppendLog
@@ -29,14 +29,14 @@
     std::vector<LogEntry> entries;
 };
 
-/** Removes the entries from @c from on. */
+/** Removes the entry at index @c from and all later ones. */
 struct TruncateLog
 {
     WriteNumber write = 0;
     LogIndex from = 0;
 };
 
-/** The entries up to @c upTo are no longer needed: a durable snapshot contains them. */
+/** Allows storage to delete the entries up to and including @c upTo: a durable snapshot contains them. */
 struct CompactLog
 {
     WriteNumber write = 0;
@@ -44,8 +44,8 @@
 };
 
 /**
- * A complete snapshot has arrived from the leader. The driver verifies it and stores it (replacing the whole log), loads the
- * state machine from it and then calls snapshotInstalled(), or snapshotRejected() when it is damaged.
+ * A complete snapshot has arrived from the leader. The caller verifies it, stores it in place of the whole log, loads the
+ * state machine from it and then calls snapshotInstalled(). If the snapshot is damaged, it calls snapshotRejected() instead.
  */
 struct InstallSnapshot
 {
@@ -54,7 +54,7 @@
     SharedBytes data;
 };
 
-/** Committed entries for the state machine, in order and without gaps. */
+/** Committed entries to apply to the state machine, in log order and without gaps. */
 struct ApplyEntries
 {
     std::vector<LogEntry> entries;
@@ -65,13 +65,13 @@
     Term term = 0;
 };
 
-/** Outstanding proposals of this leader have an unknown result; their senders resend them under the same command id. */
+/** This voter led in @c term and no longer does. The outcome of its pending proposals is unknown; clients resend them with the same command id. */
 struct LostLeadership
 {
     Term term = 0;
 };
 
-/** Leadership was confirmed by a majority after requestRead(); entries up to @c index were applied. */
+/** A majority confirmed the leadership after requestRead(), and the entries up to @c index have been applied. */
 struct ReadConfirmed
 {
     std::uint64_t readId = 0;
--- a/include/mimosahollow/control/consensusmessages.h
+++ b/include/mimosahollow/control/consensusmessages.h
@@ -8,7 +8,7 @@
 
 struct VoteRequest
 {
-    Term term = 0; /**< Term of the election; for a pre-vote the term that would follow. */
+    Term term = 0; /**< Term of the election; in a pre-vote, the term that the election would have. */
     LogIndex lastIndex = 0;
     Term lastTerm = 0;
     bool preVote = false;
@@ -16,7 +16,7 @@
 
 struct VoteReply
 {
-    Term term = 0; /**< Term of the request when granted, otherwise the term of the voter. */
+    Term term = 0; /**< Granted pre-vote: term of the request. Otherwise: current term of the replying voter. */
     bool preVote = false;
     bool granted = false;
 };
@@ -27,7 +27,7 @@
     LogIndex previousIndex = 0;
     Term previousTerm = 0;
     LogIndex commitIndex = 0;
-    std::uint64_t round = 0; /**< Echoed by the reply; confirms the leadership for reads. */
+    std::uint64_t round = 0; /**< Leader's heartbeat round. The reply repeats it, which confirms the leadership for reads. */
     std::vector<LogEntry> entries;
 };
 
@@ -36,7 +36,7 @@
     Term term = 0;
     std::uint64_t round = 0;
     bool accepted = false;
-    LogIndex matchIndex = 0; /**< Accepted: last matching entry that is durable. Otherwise: where the leader should try next. */
+    LogIndex matchIndex = 0; /**< Accepted: last entry that matches the leader's log and is durable. Rejected: next index for the leader to try. */
 };
 
 struct SnapshotChunk
@@ -44,18 +44,18 @@
     Term term = 0;
     std::uint64_t round = 0;
     SnapshotPoint point;
-    std::uint64_t size = 0; /**< Bytes of the whole snapshot. */
+    std::uint64_t size = 0; /**< Size of the whole snapshot, in bytes. */
     std::uint64_t offset = 0;
     Bytes data;
 };
 
-/** Answer to a SnapshotChunk that does not complete the snapshot; the last one is answered by an AppendReply. */
+/** Reply to a SnapshotChunk that does not complete the snapshot. A completed snapshot is acknowledged by an AppendReply. */
 struct SnapshotReply
 {
     Term term = 0;
     std::uint64_t round = 0;
     LogIndex index = 0;
-    std::uint64_t received = 0; /**< Bytes received without a gap; the next offset. */
+    std::uint64_t received = 0; /**< Contiguous bytes received, which is the next offset expected. */
 };
 
 using ConsensusMessage = std::variant<VoteRequest, VoteReply, AppendRequest, AppendReply, SnapshotChunk, SnapshotReply>;
--- a/include/mimosahollow/control/logentry.h
+++ b/include/mimosahollow/control/logentry.h
@@ -8,17 +8,17 @@
 
 namespace mimosahollow::control {
 
-using LogIndex = std::uint64_t; /**< Position in the log, from 1. */
-using Term = std::uint64_t; /**< Number of an election, from 1. */
-using WriteNumber = std::uint64_t; /**< Order number of a write to storage, from 1. */
+using LogIndex = std::uint64_t; /**< Position in the log; the first entry has index 1. */
+using Term = std::uint64_t; /**< Election term; the first is 1. */
+using WriteNumber = std::uint64_t; /**< Sequence number of a storage write; the first is 1. */
 
 using Bytes = std::vector<std::uint8_t>;
-using SharedBytes = std::shared_ptr<const Bytes>; /**< Messages, memory and storage share one copy of an entry. */
+using SharedBytes = std::shared_ptr<const Bytes>; /**< Shared by messages, the log in memory and storage writes to avoid copies. */
 
 enum class EntryKind : std::uint8_t {
-    Empty, /**< First entry of a term; commits the entries of earlier terms. */
-    Command, /**< Encoded control::Command. */
-    Members, /**< The membership from this entry on. */
+    Empty, /**< First entry of a term; committing it commits the entries of earlier terms. */
+    Command, /**< The payload is an encoded control::Command. */
+    Members, /**< Sets the membership, effective from this entry on. */
 };
 
 struct LogEntry
@@ -30,7 +30,7 @@
     Membership members; /**< Empty unless kind is Members. */
 };
 
-/** What a snapshot of the state machine stands for. */
+/** Log position and membership that a snapshot of the state machine represents. */
 struct SnapshotPoint
 {
     LogIndex index = 0; /**< Last entry that the snapshot contains. */
--- a/include/mimosahollow/control/voter.h
+++ b/include/mimosahollow/control/voter.h
@@ -6,15 +6,15 @@
 
 namespace mimosahollow::control {
 
-/** Identifies a voter; set by its settings file and never given to another machine. 0 means "none". */
+/** Identifies a voter. Set in its settings file and never reused for another machine; 0 means "none". */
 enum class VoterId : std::uint32_t {};
 
-/** One member of the replicated log. */
+/** One member of the consensus group. */
 struct Member
 {
     VoterId id{};
     std::string address; /**< "IP:port" of its link listener. */
-    bool learner = false; /**< Receives the log and has no vote yet. */
+    bool learner = false; /**< Receives the log but does not vote yet. */
 
     friend bool operator==(const Member &, const Member &) = default;
 };
