--- a/src/control/consensus.cpp
+++ b/src/control/consensus.cpp
@@ -74,14 +74,14 @@
     return ProposalAccepted{lastIndex(state), state.term};
 }
 
-/** Reason why no membership change may start now. */
+/** Returns the reason why no membership change may start now, if there is one. */
 std::optional<ProposalError> membershipChangeError(const ConsensusState &state)
 {
     if (state.role != VoterRole::Leader) {
         return ProposalError::NotLeader;
     }
-    // Two majorities of memberships that differ by two members need not overlap. The same holds for a change that an
-    // earlier leader left behind, so an entry of this term must be committed first.
+    // Majorities of two memberships that differ by two members need not overlap, so only one change may be uncommitted.
+    // An earlier leader may have left an uncommitted change, so an entry of this term must be committed first.
     if (state.membersIndex > state.commitIndex || state.commitIndex < state.termStart) {
         return ProposalError::ChangeInProgress;
     }
--- a/src/control/consensusfollower.cpp
+++ b/src/control/consensusfollower.cpp
@@ -29,7 +29,7 @@
 
 namespace {
 
-/** Next index that the leader should try after a mismatch at @p previous: skips the whole term that does not match. */
+/** Returns the next index for the leader to try after a mismatch at @p previous. Skips all entries of the mismatched term. */
 LogIndex retryIndex(const ConsensusState &state, LogIndex previous)
 {
     if (previous > lastIndex(state)) {
@@ -68,11 +68,11 @@
         return;
     }
     if (state.incomingSnapshot && state.incomingSnapshot->installing) {
-        // Confirms the leader without a claim about the log, which is being replaced.
+        // Confirms the leader but no entries: the log is being replaced by the snapshot.
         send(state, from, AppendReply{state.term, request.round, true, 0}, actions);
         return;
     }
-    // Entries up to logStart are committed and thus match.
+    // Entries up to logStart are committed, so they match the leader's log.
     const bool matches =
         request.previousIndex < state.logStart || (request.previousIndex <= lastIndex(state) && termAt(state, request.previousIndex) == request.previousTerm);
     if (!matches) {
@@ -89,7 +89,10 @@
 
 namespace {
 
-/** The log already has the entry of the snapshot: entries behind it may have been acknowledged and must stay. */
+/**
+ * Returns true if the log already contains the last entry of the snapshot, which is then committed. The snapshot must not
+ * replace the log in that case, because later entries may have been acknowledged.
+ */
 bool logCoversSnapshot(ConsensusState &state, const SnapshotPoint &point, ConsensusActions &actions)
 {
     const bool inLog = point.index > state.logStart && point.index <= lastIndex(state) && termAt(state, point.index) == point.term;
--- a/src/control/consensusinternal.h
+++ b/src/control/consensusinternal.h
@@ -2,7 +2,7 @@
 
 #include "mimosahollow/control/consensus.h"
 
-// Functions that the source files of the consensus share.
+// Functions shared by the source files of the consensus implementation.
 namespace mimosahollow::control {
 
 [[nodiscard]] const Member *findMember(const ConsensusState &state, VoterId id);
@@ -11,7 +11,7 @@
 [[nodiscard]] const LogEntry &entryAt(const ConsensusState &state, LogIndex index);
 [[nodiscard]] Membership membersAt(const ConsensusState &state, LogIndex index);
 
-/** Sends @p message, once the present term and vote are durable. */
+/** Sends @p message as soon as the current term and vote are durable. */
 void send(ConsensusState &state, VoterId to, ConsensusMessage message, ConsensusActions &actions);
 void saveVote(ConsensusState &state, ConsensusActions &actions);
 void appendToLog(ConsensusState &state, std::vector<LogEntry> entries, ConsensusActions &actions);
@@ -25,11 +25,11 @@
 void receiveVoteRequest(ConsensusState &state, VoterId from, const VoteRequest &request, TimePoint now, ConsensusActions &actions);
 void receiveVoteReply(ConsensusState &state, VoterId from, const VoteReply &reply, TimePoint now, ConsensusActions &actions);
 
-/** Common check of messages from a leader. Returns false when the message is of an old term; it was answered then. */
+/** Common handling of messages from a leader. Returns false if @p term is outdated; the message has then been rejected. */
 [[nodiscard]] bool acceptLeader(ConsensusState &state, VoterId from, Term term, std::uint64_t round, TimePoint now, ConsensusActions &actions);
 void receiveAppendRequest(ConsensusState &state, VoterId from, const AppendRequest &request, TimePoint now, ConsensusActions &actions);
 void receiveSnapshotChunk(ConsensusState &state, VoterId from, const SnapshotChunk &chunk, TimePoint now, ConsensusActions &actions);
-/** Tells the leader how much of its log is durable here. */
+/** Reports to the leader up to which index its log is durable on this voter. */
 void reportDurableIndex(ConsensusState &state, std::uint64_t round, ConsensusActions &actions);
 
 void becomeLeader(ConsensusState &state, TimePoint now, ConsensusActions &actions);
@@ -42,7 +42,7 @@
 void confirmReads(ConsensusState &state, ConsensusActions &actions);
 void rejectReads(ConsensusState &state, ConsensusActions &actions);
 
-/** Takes the new membership into account: replication to new members starts, to removed ones it ends. */
+/** Adjusts the replication progress to the current membership: adds new members and drops removed ones. */
 void updateProgress(ConsensusState &state, TimePoint now);
 
 } // namespace mimosahollow::control
--- a/src/control/consensusleader.cpp
+++ b/src/control/consensusleader.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** A chunk without an answer is sent again after this time; an answer takes a few milliseconds between failure domains. */
+/** Time without a reply after which a snapshot chunk is sent again. A reply takes a few milliseconds between failure domains. */
 constexpr Duration chunkRetryInterval = milliseconds(500);
 
 bool hasMajorityContact(const ConsensusState &state, TimePoint now)
@@ -52,7 +52,7 @@
     return {state.term, previous, termAt(state, previous), state.commitIndex, state.round, {}};
 }
 
-/** Adds entries from @p next on up to the size limit; at least one. */
+/** Adds entries from index @p next on, up to the size limits but at least one. */
 void fillEntries(const ConsensusState &state, LogIndex next, AppendRequest &request)
 {
     std::size_t size = 0;
@@ -86,11 +86,11 @@
         startSnapshotTransfer(state, to, progress, now, actions);
         return;
     }
-    // Entries that were lost show as a mismatch here.
+    // The heartbeat refers to the last entry sent, so the member rejects it if that entry was lost.
     send(state, to, emptyAppendRequest(state, progress.nextIndex - 1), actions);
 }
 
-/** Gives a learner its vote once everything committed is durable there. */
+/** Promotes a learner to a voter once all committed entries are durable on it. */
 void promoteLearner(ConsensusState &state, TimePoint now, ConsensusActions &actions)
 {
     if (state.membersIndex > state.commitIndex || state.commitIndex < state.termStart) {
@@ -187,7 +187,7 @@
     confirmReads(state, actions);
 }
 
-/** Handles what every reply carries. Returns the sender's progress; null when the reply concerns no present leadership. */
+/** Handles the term and round of a reply. Returns the sender's progress; null if this voter does not lead in @p term or the sender is no member. */
 static MemberProgress *recordReply(ConsensusState &state, VoterId from, Term term, std::uint64_t round, TimePoint now, ConsensusActions &actions)
 {
     if (term > state.term) {
@@ -228,7 +228,7 @@
         sendHeartbeat(state, from, now, actions);
     }
     confirmReads(state, actions);
-    // The commit may have ended the leadership or the membership of the sender.
+    // A committed membership change may have removed this leader or the sender.
     const auto remaining = state.progress.find(from);
     if (state.role != VoterRole::Leader || remaining == state.progress.end()) {
         return;
@@ -244,7 +244,7 @@
         return;
     }
     MemberProgress &progress = *sender;
-    // A repeated answer for an offset that was passed already would double the traffic.
+    // Answering a duplicate reply for an earlier offset would send each following chunk twice.
     const bool advancesTransfer = reply.received > progress.snapshotOffset || reply.received == 0;
     if (progress.snapshot.index == reply.index && progress.snapshotData && advancesTransfer && reply.received <= progress.snapshotData->size()) {
         progress.snapshotOffset = reply.received;
@@ -273,7 +273,7 @@
     }
     std::sort(durable.begin(), durable.end(), std::greater<>());
     const LogIndex index = durable[majority(state) - 1];
-    // An entry of an earlier term is only safe once one of this term behind it is on a majority.
+    // An entry of an earlier term may still be replaced until a later entry of this term is on a majority.
     if (index <= state.commitIndex || termAt(state, index) != state.term) {
         return;
     }
@@ -281,7 +281,7 @@
     applyCommitted(state, actions);
     confirmReads(state, actions);
     if (findMember(state, state.self) == nullptr && state.membersIndex <= state.commitIndex) {
-        // The others learn of the commit before this leader falls silent.
+        // This leader has been removed: it tells the other members of the commit before it steps down.
         ++state.round;
         for (const auto &element : state.progress) {
             send(state, element.first, emptyAppendRequest(state, std::min(element.second.nextIndex - 1, lastIndex(state))), actions);
--- a/src/control/consensuslog.cpp
+++ b/src/control/consensuslog.cpp
@@ -60,6 +60,7 @@
 
 namespace {
 
+/** Sets the current membership from the latest entry in the log that has one. */
 void refreshMembership(ConsensusState &state)
 {
     state.members = state.logStartMembers;
@@ -78,7 +79,7 @@
 void send(ConsensusState &state, VoterId to, ConsensusMessage message, ConsensusActions &actions)
 {
     SendToVoter outgoing{to, std::move(message)};
-    // A voter that forgets its term or vote in a crash could vote twice in one term.
+    // A voter that loses its term or vote in a crash could vote twice in one term.
     if (state.voteWrite > state.syncedWrite) {
         state.deferredMessages.push_back({state.voteWrite, std::move(outgoing)});
         return;
@@ -110,7 +111,7 @@
 {
     state.log.resize(from - state.logStart - 1);
     state.syncedIndex = std::min(state.syncedIndex, from - 1);
-    // Writes that are still on their way no longer make the removed entries durable.
+    // Pending writes must not report the removed indexes as durable: new entries may take these indexes.
     for (PendingWrite &write : state.pendingWrites) {
         write.lastIndex = std::min(write.lastIndex, from - 1);
     }
@@ -162,7 +163,7 @@
     state.logStartTerm = durable.snapshot.term;
     auto firstKept = durable.entries.begin();
     if (!durable.entries.empty() && firstKept->index <= state.logStart) {
-        // The term before the first kept entry is not known, so that entry itself becomes the start.
+        // The term of the entry before the first stored one is unknown, so the first stored entry itself becomes logStart.
         if (firstKept->index == 1) {
             state.logStart = 0;
             state.logStartTerm = 0;
@@ -173,7 +174,7 @@
         }
     }
     state.log.assign(firstKept, durable.entries.end());
-    // Before the snapshot this is only an approximation; nobody asks for the membership there.
+    // Before the snapshot index this is only an approximation, but the membership there is never needed.
     state.logStartMembers = durable.snapshot.members.empty() ? std::move(firstMembers) : durable.snapshot.members;
     refreshMembership(state);
     state.commitIndex = durable.snapshot.index;
--- a/src/control/election.cpp
+++ b/src/control/election.cpp
@@ -41,7 +41,7 @@
     return request.lastTerm > lastTerm || (request.lastTerm == lastTerm && request.lastIndex >= last);
 }
 
-/** A leader without a majority steps down by itself, so a voter that leads counts as one that hears a leader. */
+/** Returns true for the leader itself too: a leader that loses its majority steps down on its own. */
 bool hasLeaderContact(const ConsensusState &state, TimePoint now)
 {
     return state.role == VoterRole::Leader || (state.leader != VoterId{} && now - state.lastLeaderContact < state.options.electionTimeoutMinimum);
@@ -99,7 +99,7 @@
 void receiveVoteRequest(ConsensusState &state, VoterId from, const VoteRequest &request, TimePoint now, ConsensusActions &actions)
 {
     if (hasLeaderContact(state, now)) {
-        // A voter that lost contact must not depose a leader that a majority still hears.
+        // A voter that lost contact must not depose a leader that still has contact with a majority.
         send(state, from, VoteReply{state.term, request.preVote, false}, actions);
         return;
     }
@@ -151,7 +151,7 @@
     if (state.role == VoterRole::Leader || hasLeaderContact(state, now)) {
         return;
     }
-    // The lower bound lets one voter finish its round of pre-votes before the next one begins its own.
+    // The lower bound lets one voter complete its pre-vote before the next one starts.
     std::uniform_int_distribution<Duration::rep> random(maximumDelay.count() / 5, maximumDelay.count());
     state.electionDeadline = std::min(state.electionDeadline, now + Duration(random(state.random)));
 }
@@ -161,7 +161,7 @@
     if (voter == VoterId{} || state.leader != voter || state.role != VoterRole::Follower) {
         return;
     }
-    // Pre-votes keep this safe for a leader whose other connections hold: their voters still hear it and refuse.
+    // This cannot depose a leader whose other connections work: voters that still have contact with it reject the pre-vote.
     state.lastLeaderContact = {};
     expediteElection(state, maximumDelay, now);
 }
--- a/tests/control/cluster.cpp
+++ b/tests/control/cluster.cpp
@@ -44,7 +44,7 @@
     return text;
 }
 
-/** Random faults and clients for some seconds, then a quiet end. */
+/** Runs random faults and client operations for some seconds, then removes all faults so that the fleet can settle. */
 class RandomFaultRun
 {
 public:
@@ -56,7 +56,7 @@
     {
         simulation.submit(0, applyBundle(0, "first"));
         for (unsigned round = 0; round < rounds; ++round) {
-            // Between two faults the voters need time for an election, or nothing is ever committed.
+            // The voters need time for an election between two faults, otherwise nothing is committed.
             if (round % 4 == 0) {
                 injectFault();
             }
@@ -72,7 +72,7 @@
         }
     }
 
-    /** All clients have their answers and all voters the same state. */
+    /** Runs until all operations are answered and all voters have the same state. Returns false if that takes over 60 s. */
     bool settle()
     {
         return simulation.runUntil(
@@ -108,7 +108,7 @@
             }
             break;
         }
-        case 4: // a link that works in one direction
+        case 4: // a link that fails in one direction
             simulation.cutLink(randomVoter(), randomVoter());
             break;
         case 5: // power loss of a majority at once
@@ -179,26 +179,27 @@
     }
     std::cout << "voters " << voters << ", seeds from " << firstSeed << ": " << runs << " runs, " << committed << " entries committed, " << installed
               << " snapshots installed\n";
-    // Otherwise the faults leave nothing to check.
+    // With fewer entries or no installed snapshots the runs would check too little.
     REQUIRE(committed > runs * 50);
     REQUIRE(installed > 0);
 }
 
 } // namespace
 
-// Guards against two leaders in a term, committed entries that are lost or changed, and histories that no sequential run
-// explains, under lost, doubled and reordered messages, partitions, one-way links, crashes and lost unsynced writes.
+// Guards against two leaders in one term, committed entries that are lost or changed, and results that are not linearizable.
+// Faults: lost, duplicated and reordered messages, partitions, one-way links, crashes, and loss of writes that were not synced.
 TEST_CASE("3 voters agree under random faults")
 {
     runRandomFaults(3);
 }
 
+// Same as above with a majority of three voters.
 TEST_CASE("5 voters agree under random faults")
 {
     runRandomFaults(5);
 }
 
-// Guards against a checker that accepts everything: each of these faults is known to lose data.
+// Guards against a checker that misses violations: each of these deliberate faults is known to lose data.
 TEST_CASE("the checker finds deliberate faults")
 {
     SimulationOptions options;
@@ -223,7 +224,7 @@
     REQUIRE(found > 0);
 }
 
-// Guards against changes that do not survive a restart, and results that change with it.
+// Guards against changes that are lost in a restart of all voters, and against a retried command that gets another result after it.
 TEST_CASE("a fleet restarts after 500 changes")
 {
     SimulationOptions options;
@@ -251,7 +252,7 @@
     REQUIRE(simulation.runUntil(settled, seconds(20)));
     REQUIRE(simulation.operation(read).keys.size() == 500);
 
-    SECTION("a resend of an old command gets the old result")
+    SECTION("a retried command gets its original result")
     {
         ControlState &state = simulation.leader()->state;
         for (const std::size_t number : operations) {
@@ -264,8 +265,8 @@
     REQUIRE(joinLines(simulation.violations()).empty());
 }
 
-// Guards against data loss when a voter is lost right after the replacement of another one has joined.
-TEST_CASE("a second voter is lost after a repair")
+// Guards against data loss when a voter fails right after a failed voter was replaced: the new member must have all entries.
+TEST_CASE("a second voter fails after the first was replaced")
 {
     SimulationOptions options;
     options.seed = GENERATE(range(firstSeed, firstSeed + 20));
@@ -322,8 +323,9 @@
     REQUIRE(joinLines(simulation.violations()).empty());
 }
 
-// Guards against two bundles accepted under one version number, and a conflict that does not name the winner.
-TEST_CASE("operators race under one version number")
+// Guards against two bundles that are accepted for the same version, and against a conflict message that does not name the author
+// of the accepted bundle.
+TEST_CASE("concurrent bundles for one version: exactly one is accepted")
 {
     SimulationOptions options;
     options.seed = GENERATE(range(firstSeed, firstSeed + 20));
--- a/tests/control/consensus.cpp
+++ b/tests/control/consensus.cpp
@@ -46,7 +46,7 @@
     return std::make_shared<const Bytes>(Bytes{1});
 }
 
-/** Voter 1 as the leader of term 1 at @p now, with everything durable. */
+/** Creates voter 1 as the leader of term 1 with all its writes durable; sets @p now to the time of its election. */
 ConsensusState makeLeader(TimePoint &now)
 {
     ConsensusState state = makeVoter(one);
@@ -65,9 +65,9 @@
 
 } // namespace
 
-// Guards against a time-out of 500 ms and more for an election when the leader's connections are closed; and against an election
-// against a leader that others hear.
-TEST_CASE("a voter that loses the connections to its leader stands for election soon")
+// Guards against waiting for the whole election timeout, 500 ms and more, although the connections to the leader are closed; and
+// against an election while other voters still have contact with the leader.
+TEST_CASE("a voter that loses the connections to its leader starts an election soon")
 {
     constexpr Duration maximumDelay = milliseconds(100);
     ConsensusState state = makeVoter(two);
@@ -78,7 +78,7 @@
     REQUIRE(state.leader == one);
     actions.clear();
 
-    SECTION("it asks the others")
+    SECTION("it sends pre-votes to the other voters")
     {
         voterDisconnected(state, one, maximumDelay, now);
         now += maximumDelay;
@@ -86,7 +86,7 @@
         REQUIRE(messagesOf<VoteRequest>(actions).size() == 2);
         CHECK(messagesOf<VoteRequest>(actions)[0].preVote);
     }
-    SECTION("it stays when another voter was lost")
+    SECTION("it starts no election when another voter disconnects")
     {
         voterDisconnected(state, three, maximumDelay, now);
         expediteElection(state, maximumDelay, now);
@@ -94,7 +94,7 @@
         tick(state, now, actions);
         CHECK(messagesOf<VoteRequest>(actions).empty());
     }
-    SECTION("it refuses another one's wish while it hears the leader")
+    SECTION("it rejects pre-votes while it has contact with the leader")
     {
         receive(state, three, VoteRequest{2, 0, 0, true}, now, actions);
         REQUIRE(messagesOf<VoteReply>(actions).size() == 1);
@@ -102,8 +102,8 @@
     }
 }
 
-// Guards against a voter that forgets in a crash what it told others.
-TEST_CASE("messages wait for the durable vote")
+// Guards against a voter that loses in a crash a vote or entries that it has already reported to others.
+TEST_CASE("messages are sent only after the vote is durable")
 {
     ConsensusState state = makeVoter(two);
     ConsensusActions actions;
@@ -131,8 +131,8 @@
     }
 }
 
-// Guards against a voter with a bad link that deposes a working leader again and again.
-TEST_CASE("no vote while a leader is heard")
+// Guards against a voter with a bad link that repeatedly deposes a working leader.
+TEST_CASE("a voter in contact with a leader grants no vote")
 {
     ConsensusState state = makeVoter(two);
     ConsensusActions actions;
@@ -156,8 +156,8 @@
     ConsensusState state = makeLeader(now);
     ConsensusActions actions;
 
-    // Guards against a commit that a power loss takes back.
-    SECTION("counts only what is durable, its own entries included")
+    // Guards against a committed entry that is lost in a power failure.
+    SECTION("commits only entries that are durable on a majority, counting its own disk")
     {
         const std::vector payloads{payload()};
         REQUIRE(std::get<ProposalAccepted>(propose(state, payloads, now, actions)).index == 2);
@@ -167,7 +167,7 @@
         logSynced(state, state.lastWrite, now, actions);
         REQUIRE(state.commitIndex == 2);
     }
-    // Guards against an isolated leader that keeps callers waiting and confirms old data.
+    // Guards against an isolated leader that keeps callers waiting and confirms stale reads.
     SECTION("steps down without a majority")
     {
         const auto read = requestRead(state, actions);
@@ -180,8 +180,8 @@
         REQUIRE(actionsOf<ReadRejected>(actions).at(0).readId == read);
         REQUIRE(std::get<ProposalRejected>(propose(state, {}, now, actions)).error == ProposalError::NotLeader);
     }
-    // Guards against a renewal that rests on a reply from before the request.
-    SECTION("confirms reads only by later replies")
+    // Guards against a read, such as a lease renewal, that is confirmed by a reply to a message sent before it was requested.
+    SECTION("confirms reads only by replies to later messages")
     {
         const std::uint64_t before = state.round;
         const auto read = requestRead(state, actions);
@@ -192,15 +192,15 @@
         receive(state, two, AppendReply{1, before + 1, true, 1}, now, actions);
         REQUIRE(actionsOf<ReadConfirmed>(actions).at(0).readId == read);
     }
-    // Guards against memory that grows while no majority answers.
-    SECTION("rejects what it cannot hold")
+    // Guards against memory that grows without bound while no majority answers.
+    SECTION("rejects too many or too large proposals")
     {
         const std::vector<SharedBytes> many(state.options.maximumUncommittedEntries + 1, payload());
         REQUIRE(std::get<ProposalRejected>(propose(state, many, now, actions)).error == ProposalError::Overloaded);
         const std::vector<SharedBytes> large{std::make_shared<const Bytes>(state.options.maximumEntryBytes + 1)};
         REQUIRE(std::get<ProposalRejected>(propose(state, large, now, actions)).error == ProposalError::TooLarge);
     }
-    // Guards against a membership without voters, and members that are added twice.
+    // Guards against members that are added twice, and against the removal of members that do not exist.
     SECTION("checks membership changes")
     {
         REQUIRE(std::get<ProposalRejected>(proposeMember(state, {two, "", false}, now, actions)).error == ProposalError::AlreadyMember);
@@ -208,8 +208,8 @@
     }
 }
 
-// Guards against an entry of an earlier term that counts as committed and is then replaced by another leader.
-TEST_CASE("an earlier term is committed by an entry of the present one")
+// Guards against an entry of an earlier term that is committed by its replica count alone and then replaced by another leader.
+TEST_CASE("entries of an earlier term are committed by an entry of the current term")
 {
     DurableLog durable;
     durable.term = 2;
@@ -229,8 +229,8 @@
     REQUIRE(state.commitIndex == 3);
 }
 
-// Guards against an acknowledgement of new entries by the late report about the ones that they replaced.
-TEST_CASE("a report about replaced entries does not count")
+// Guards against new entries that are acknowledged as durable when the sync of the entries that they replaced completes late.
+TEST_CASE("a late sync of replaced entries does not acknowledge their replacements")
 {
     ConsensusState state = makeVoter(two);
     ConsensusActions actions;
@@ -250,8 +250,8 @@
     REQUIRE(messagesOf<AppendReply>(actions).back().matchIndex == 2);
 }
 
-// Guards against entries that were acknowledged and vanish when a late snapshot arrives.
-TEST_CASE("a late snapshot keeps the log behind it")
+// Guards against acknowledged entries that are lost when a delayed snapshot of an earlier index arrives.
+TEST_CASE("a delayed snapshot does not remove later entries")
 {
     ConsensusState state = makeVoter(two);
     ConsensusActions actions;
--- a/tests/control/simulation.cpp
+++ b/tests/control/simulation.cpp
@@ -98,7 +98,7 @@
     auto opened = storage::LogStore::open(node.files, "data", {4'000});
     if (const auto *error = std::get_if<storage::StorageError>(&opened)) {
         if (node.files.crashed) {
-            // Another crash during the recovery.
+            // A disk fault crashed the voter again during recovery.
             node.files.crash(random);
             schedule(delay(seconds(1)), [this, id] {
                 start(id);
@@ -247,7 +247,7 @@
             }
             auto message = link::decodeConsensusMessage(bytes);
             if (std::holds_alternative<link::CodecError>(message)) {
-                violation("a message does not decode");
+                violation("a message cannot be decoded");
                 return;
             }
             ConsensusActions actions;
@@ -263,7 +263,7 @@
         const std::pair value(entry.term, content(entry));
         const auto [position, isNew] = m_committed.try_emplace(entry.index, value);
         if (!isNew && position->second != value) {
-            violation("entry " + std::to_string(entry.index) + " was committed twice with different content");
+            violation("entry " + std::to_string(entry.index) + " was committed with different contents");
         }
         if (entry.index != node.state.appliedIndex + 1) {
             violation("entry " + std::to_string(entry.index) + " was applied out of order");
@@ -310,7 +310,7 @@
 void Simulation::install(Node &node, const InstallSnapshot &action)
 {
     if (std::holds_alternative<SnapshotError>(decodeSnapshot(*action.data))) {
-        violation("a received snapshot is damaged");
+        violation("a received snapshot cannot be decoded");
         snapshotRejected(node.consensus);
         return;
     }
@@ -417,7 +417,7 @@
 void Simulation::answer(std::size_t number, const std::function<void(Operation &)> &fill)
 {
     Operation &operation = m_operations[number];
-    // A lost answer: the client asks again under the same command id.
+    // The answer is lost: the client sends the request again with the same command id.
     constexpr double answerLoss = 0.1;
     if (operation.done || chance(answerLoss)) {
         return;
@@ -519,16 +519,17 @@
         } else {
             operation.index = m_firstIndex.at(operation.command.id);
             if (!(results[operation.command.id] == operation.result)) {
-                violation("a client got another result than the log gives, at entry " + std::to_string(operation.index));
+                violation("a client got a result that differs from the replayed log, at entry " + std::to_string(operation.index));
             }
         }
         answered.emplace_back(operation.answered, operation.index);
     }
-    // Real time: what was answered before another operation began comes before it in the order.
+    // Linearizability: an operation that completed before another one began precedes it in the log.
     for (const Operation &operation : m_operations) {
         for (const auto &[time, index] : answered) {
             if (operation.done && time < operation.invoked && index > operation.index) {
-                violation("an operation at entry " + std::to_string(operation.index) + " does not see the earlier one at " + std::to_string(index));
+                violation("an operation at entry " + std::to_string(operation.index)
+                          + " is ordered before an operation that completed before it began, at entry " + std::to_string(index));
             }
         }
     }
--- a/tests/control/simulation.h
+++ b/tests/control/simulation.h
@@ -23,16 +23,16 @@
 {
     std::uint64_t seed = 1;
     unsigned voters = 3;
-    double loss = 0.02; /**< Part of the messages that get lost. */
-    double duplication = 0.02;
-    Duration maximumMessageDelay = milliseconds(8); /**< Of a message; different delays reorder. */
+    double loss = 0.02; /**< Probability that a message is lost. */
+    double duplication = 0.02; /**< Probability that a message is delivered twice. */
+    Duration maximumMessageDelay = milliseconds(8); /**< Each message gets a random delay up to this, so messages are reordered. */
     Duration maximumSyncDelay = milliseconds(4);
-    LogIndex snapshotInterval = 25; /**< Entries between snapshots. */
-    bool acknowledgesEntriesBeforeSync = false; /**< The deliberate fault that the checker must find. */
-    bool acknowledgesVoteBeforeSync = false; /**< Another one: the vote is reported durable before it is. */
+    LogIndex snapshotInterval = 25; /**< Applied entries between two snapshots. */
+    bool acknowledgesEntriesBeforeSync = false; /**< Deliberate fault: log entries are reported durable before they are. */
+    bool acknowledgesVoteBeforeSync = false; /**< Deliberate fault: the vote is reported durable before it is. */
 };
 
-/** What a client asked for and what became of it. */
+/** A command or read of a client, and its result. */
 struct Operation
 {
     unsigned client = 0;
@@ -41,13 +41,15 @@
     TimePoint invoked{};
     TimePoint answered{};
     bool done = false;
-    LogIndex index = 0; /**< Place in the order of the log. */
+    LogIndex index = 0; /**< Log index at which the operation takes effect. */
     CommandResult result;
-    std::map<std::string, bool> keys; /**< For reads: keys in force. */
-    Version version = 0; /**< For reads: version in force. */
+    std::map<std::string, bool> keys; /**< Reads only: names of the API keys in the configuration. */
+    Version version = 0; /**< Reads only: version of the configuration. */
 };
 
-/** Voters on fake disks, a fake network and clients, driven by a queue of events. Everything follows from the seed. */
+/**
+ * Discrete-event simulation of voters with simulated disks, network and clients. The seed determines the whole run.
+ */
 class Simulation
 {
 public:
@@ -59,23 +61,23 @@
         ConsensusState consensus;
         ControlState state;
         bool running = false;
-        std::uint64_t incarnation = 0; /**< Counts restarts; events of an earlier life are dropped. */
+        std::uint64_t incarnation = 0; /**< Changes at each start and crash; events of an earlier incarnation are dropped. */
         std::vector<storage::StorageWrite> unflushedWrites;
         bool flushScheduled = false;
         LogIndex lastSnapshotIndex = 0;
-        std::map<LogIndex, std::pair<Term, std::size_t>> proposals; /**< Operations waiting for their entry. */
-        std::map<std::uint64_t, std::size_t> reads;
+        std::map<LogIndex, std::pair<Term, std::size_t>> proposals; /**< By log index: term of the entry and number of the operation that waits for it. */
+        std::map<std::uint64_t, std::size_t> reads; /**< By read id: number of the operation that waits for it. */
         Membership firstMembers;
     };
 
     explicit Simulation(const SimulationOptions &options);
 
     void runFor(Duration duration);
-    /** Runs until @p condition holds; false when it does not within @p limit. */
+    /** Runs until @p condition holds. Returns false if it does not within @p limit of simulated time. */
     bool runUntil(const std::function<bool()> &condition, Duration limit);
 
     void crash(VoterId id, bool restarts = true);
-    /** Crashes in the middle of the @p steps th next operation on the disk. */
+    /** Lets the voter crash in the middle of a disk operation, the one @p steps operations from now. */
     void crashDuringDiskOperation(VoterId id, std::uint64_t steps);
     void start(VoterId id);
     Node &addNode(VoterId id);
@@ -83,7 +85,7 @@
     void restoreLinks();
     void setFaults(double loss, double duplication);
 
-    /** The client asks @p target or, after no answer, others, under the same command id. */
+    /** Sends a command of @p client to random voters, always with the same command id, until it gets an answer. Returns the operation's number. */
     std::size_t submit(unsigned client, CommandBody body);
     std::size_t submitRead(unsigned client);
     [[nodiscard]] const Operation &operation(std::size_t number) const
@@ -97,11 +99,12 @@
     {
         return *m_nodes.at(id);
     }
-    /** Every running voter has applied the same entries, and a leader exists. */
+    /** Returns true if there is a leader and every running member has applied all committed entries and has no others. */
     [[nodiscard]] bool isSettled();
+    /** Calls @p proposal on the current leader. */
     ProposalResult change(const std::function<ProposalResult(ConsensusState &, TimePoint, ConsensusActions &)> &proposal);
 
-    /** Checks the history of the clients against a sequential run in the order of the log. */
+    /** Checks that the results seen by the clients are linearizable: replays the log sequentially and compares the results and their order in time. */
     void checkHistory();
 
     [[nodiscard]] const std::vector<std::string> &violations() const
@@ -157,10 +160,10 @@
     std::vector<Operation> m_operations;
     std::uint64_t m_lastCommand = 0;
 
-    std::map<Term, VoterId> m_leaders;
-    std::map<LogIndex, std::pair<Term, Bytes>> m_committed;
-    std::map<LogIndex, Bytes> m_states; /**< Encoded state after some entries; the same on every voter. */
-    std::map<CommandId, LogIndex> m_firstIndex;
+    std::map<Term, VoterId> m_leaders; /**< Leader elected in each term. */
+    std::map<LogIndex, std::pair<Term, Bytes>> m_committed; /**< Term and content of each entry that a voter has applied. */
+    std::map<LogIndex, Bytes> m_states; /**< Encoded state after every few entries; must be the same on every voter. */
+    std::map<CommandId, LogIndex> m_firstIndex; /**< Index of the first entry of each command; later ones are retries. */
     std::vector<std::string> m_violations;
 };
 
