--- a/benchmark/poolpolicy.h
+++ b/benchmark/poolpolicy.h
@@ -31,7 +31,7 @@
         m_result.calls.resize(calls.size());
         for (std::uint32_t domain = 0; domain < deployment.domains; ++domain) {
             scheduling::SchedulingSettings settings;
-            settings.loadsInFlight = 8 / deployment.domains;
+            settings.maximumLoadsInFlight = 8 / deployment.domains;
             settings.loadsPerSecond = deployment.loadsPerSecond / deployment.domains;
             settings.expectedAdapters = adapterCount;
             settings.seed = seed * 10 + domain;
@@ -155,7 +155,7 @@
     void declare(std::uint32_t domain, scheduling::ServiceState service)
     {
         scheduling::PoolDeclaration declaration;
-        declaration.domain = service;
+        declaration.domainState = service;
         for (std::uint32_t i = 0; i < m_fleet.engines.size(); ++i) {
             if (m_fleet.engines[i].domain == domain) {
                 declaration.servers.push_back({ServerId{i + 1}, scheduling::ServiceState::InService});
@@ -209,8 +209,8 @@
             scheduling::tick(m_pools[i], time(), actions);
             carryOut(i, actions);
         }
-        giveTokens(&scheduling::PoolState::urgentLoadTokens);
-        giveTokens(&scheduling::PoolState::wantedLoadTokens);
+        giveTokens(&scheduling::PoolState::urgentLoadTokenDemand);
+        giveTokens(&scheduling::PoolState::loadTokenDemand);
     }
 
     void giveTokens(std::uint32_t scheduling::PoolState::*wanted)
--- a/benchmark/scheduling.cpp
+++ b/benchmark/scheduling.cpp
@@ -60,7 +60,7 @@
 PoolState warmPool(TimePoint now, std::mt19937_64 &random, std::vector<std::uint32_t> &resident)
 {
     SchedulingSettings settings;
-    settings.silence = std::chrono::hours(1);
+    settings.silenceTimeout = std::chrono::hours(1);
     PoolState state = makePool(PoolId{1}, settings, now);
     Actions actions;
     PoolDeclaration declaration;
--- a/include/mimosahollow/scheduling/declaration.h
+++ b/include/mimosahollow/scheduling/declaration.h
@@ -22,7 +22,7 @@
 /** What the configuration in force says about the pool. Servers that are not listed get no work. */
 struct PoolDeclaration
 {
-    ServiceState domain{};
+    ServiceState domainState{};
     std::vector<DeclaredServer> servers;
 };
 
--- a/include/mimosahollow/scheduling/pool.h
+++ b/include/mimosahollow/scheduling/pool.h
@@ -3,12 +3,12 @@
 #include "mimosahollow/scheduling/actions.h"
 #include "mimosahollow/scheduling/declaration.h"
 #include "mimosahollow/scheduling/grantreport.h"
-#include "mimosahollow/scheduling/ownership.h"
 #include "mimosahollow/scheduling/poolstate.h"
 #include "mimosahollow/scheduling/poolsummary.h"
 #include "mimosahollow/scheduling/release.h"
 #include "mimosahollow/scheduling/request.h"
 #include "mimosahollow/scheduling/serverevents.h"
+#include "mimosahollow/scheduling/takeover.h"
 
 #include <cstdint>
 
@@ -42,14 +42,14 @@
 
 void setDeclaration(PoolState &state, const PoolDeclaration &declaration, TimePoint now, Actions &actions);
 
-/** Adds tokens of the fleet-wide load budget. PoolState::wantedLoadTokens says how many the pool could use. */
+/** Adds tokens of the fleet-wide load budget. PoolState::loadTokenDemand says how many the pool could use. */
 void grantLoadTokens(PoolState &state, double tokens, TimePoint now, Actions &actions);
 
 /** Deadlines, load timeouts, retries, expiry of unknown grants. To be called every 10 to 100 ms. */
 void tick(PoolState &state, TimePoint now, Actions &actions);
 
 /** Starts to decide for the pool without the state of the earlier owner. */
-void beginOwnership(PoolState &state, const Ownership &ownership, TimePoint now);
+void takeOver(PoolState &state, const Takeover &ownership, TimePoint now);
 
 /** An entry instance reports all grants it holds. For an instance that is provably gone, call it with no grants. */
 void reconcileGrants(PoolState &state, const GrantReport &report, TimePoint now, Actions &actions);
--- a/include/mimosahollow/scheduling/poolstate.h
+++ b/include/mimosahollow/scheduling/poolstate.h
@@ -39,7 +39,7 @@
     PoolId pool{};
     FencingNumber fencing = 0;
     SchedulingSettings settings;
-    ServiceState domain = ServiceState::InService;
+    ServiceState domainState = ServiceState::InService;
 
     std::vector<ServerState> servers;
     std::vector<std::uint32_t> serverIndexes; /**< By server id; noIndex when not known. */
@@ -54,22 +54,22 @@
     std::uint32_t waiting = 0;
     std::uint32_t loadsInFlight = 0;
     double loadTokens = 0;
-    std::uint32_t wantedLoadTokens = 0; /**< How many tokens of the fleet-wide load budget the pool could use now. */
-    std::uint32_t urgentLoadTokens = 0; /**< Part of them for organisations with a short queue; to be given first. */
-    double loadSeconds = 0.25; /**< Moving average of the time that a load takes. */
-    double serviceSeconds = 1; /**< Moving average of the time that a grant is held. */
-    double leastSecondsPerToken = 0; /**< Time of a fast grant by its maximum output tokens; 0: not known. */
-    double servedFloor = 0; /**< Token counter of the organisation that was served last. */
-    double loadsFloor = 0;
+    std::uint32_t loadTokenDemand = 0; /**< How many tokens of the fleet-wide load budget the pool could use now. */
+    std::uint32_t urgentLoadTokenDemand = 0; /**< Part of them for organisations with a short queue; to be given first. */
+    double averageLoadSeconds = 0.25; /**< Moving average of the time that a load takes. */
+    double averageServiceSeconds = 1; /**< Moving average of the time that a grant is held. */
+    double minimumSecondsPerToken = 0; /**< Time of a fast grant by its maximum output tokens; 0: not known. */
+    double tokenVirtualTime = 0; /**< Token counter of the organisation that was served last. */
+    double loadVirtualTime = 0;
     std::uint64_t nextGrant = 1;
     std::uint64_t nextOrder = 1;
-    std::uint64_t random = 0; /**< State of the generator that breaks ties. */
+    std::uint64_t randomState = 0; /**< State of the generator that breaks ties. */
     TimePoint popularityOrigin;
-    TimePoint unknownUntil; /**< Grants of earlier owners have expired by then. */
-    TimePoint ordersFrom; /**< For servers that ignore fencing numbers. */
+    TimePoint unknownGrantsExpireAt; /**< Grants of earlier owners have expired by then. */
+    TimePoint ordersAllowedFrom; /**< For servers that ignore fencing numbers. */
     TimePoint ownedSince;
-    std::vector<InstanceId> unreconciled; /**< Entry instances that have not reported their grants. */
-    bool unknownUse = false; /**< Grants of earlier owners may exist. */
+    std::vector<InstanceId> unreportedInstances; /**< Entry instances that have not reported their grants. */
+    bool mayHaveUnknownGrants = false; /**< Grants of earlier owners may exist. */
 };
 
 /** An empty state with its storage reserved. */
--- a/include/mimosahollow/scheduling/requestindex.h
+++ b/include/mimosahollow/scheduling/requestindex.h
@@ -26,7 +26,7 @@
         std::uint32_t record = none;
     };
 
-    [[nodiscard]] std::size_t home(const RequestId &id) const noexcept;
+    [[nodiscard]] std::size_t homePosition(const RequestId &id) const noexcept;
     void rehash(std::size_t capacity);
 
     std::vector<Entry> m_entries; // a power of two, at most half full
--- a/include/mimosahollow/scheduling/requestrecord.h
+++ b/include/mimosahollow/scheduling/requestrecord.h
@@ -28,7 +28,7 @@
     std::uint64_t incarnation = 0; /**< Of the server at the grant. */
     std::uint64_t grant = 0;
     FencingNumber fencing = 0;
-    double charged = 0; /**< Tokens charged to the organisation. */
+    double chargedTokens = 0; /**< Tokens charged to the organisation. */
 };
 
 } // namespace mimosahollow::scheduling
--- a/include/mimosahollow/scheduling/serverstate.h
+++ b/include/mimosahollow/scheduling/serverstate.h
@@ -22,13 +22,13 @@
 {
     AdapterId adapter{};
     SlotPhase phase{};
-    bool unknownUse = false; /**< A grant of an earlier owner may use the adapter. */
-    bool unloadOrder = false; /**< The order is an unload; stays valid while the phase is Unknown. */
-    bool countsAsLoad = false; /**< Counted in AdapterState::loads of the adapter that is being loaded. */
-    bool holdsLoadPlace = false; /**< Counted in PoolState::loadsInFlight. */
+    bool mayHaveUnknownGrants = false; /**< A grant of an earlier owner may use the adapter. */
+    bool isUnloadOrder = false; /**< The order is an unload; stays valid while the phase is Unknown. */
+    bool countsAsLoad = false; /**< Counted in AdapterState::pendingLoads of the adapter that is being loaded. */
+    bool holdsLoadPermit = false; /**< Counted in PoolState::loadsInFlight. */
     std::uint32_t users = 0; /**< Grants on this server for this adapter. */
     std::uint64_t order = 0; /**< Load or unload in flight. */
-    AdapterId next{}; /**< To be loaded when the unload is done. */
+    AdapterId nextAdapter{}; /**< To be loaded when the unload is done. */
     TimePoint since; /**< Start of the phase. */
 };
 
@@ -43,7 +43,7 @@
 struct ServerState
 {
     ServerId id{};
-    ServiceState declared = ServiceState::Out;
+    ServiceState serviceState = ServiceState::Out;
     bool isDeclared = false;
     bool announced = false;
     bool leaving = false; /**< By its own announcement. */
@@ -53,10 +53,10 @@
     std::uint32_t grants = 0; /**< Requests granted by this owner or reconciled. */
     std::uint32_t unknownGrants = 0; /**< Slots that an earlier owner may have granted. */
     SlowStart slowStart;
-    TimePoint ordersFrom; /**< No order before: an earlier owner's order may still arrive. */
-    TimePoint grantsFrom; /**< Nothing new before: the server refused a connection. */
+    TimePoint ordersAllowedFrom; /**< No order before: an earlier owner's order may still arrive. */
+    TimePoint grantsAllowedFrom; /**< Nothing new before: the server refused a connection. */
     TimePoint lastSeen; /**< Last announcement or report. */
-    bool silent = false; /**< Not seen for SchedulingSettings::silence. */
+    bool silent = false; /**< Not seen for SchedulingSettings::silenceTimeout. */
     std::vector<AdapterSlot> slots; /**< Longer than adapterSlots only when the server reports more than that. */
     std::vector<ErasedAdapter> erased;
 };
--- a/include/mimosahollow/scheduling/ownership.h
+++ b/include/mimosahollow/scheduling/takeover.h
@@ -8,12 +8,12 @@
 namespace mimosahollow::scheduling {
 
 /** How an instance became the owner of a pool without a handover. */
-struct Ownership
+struct Takeover
 {
     FencingNumber fencing = 0;
     std::vector<InstanceId> instances; /**< Entry instances that could hold grants of earlier owners. */
-    TimePoint unknownUntil; /**< The last grant of an earlier owner has expired by then (maximum request deadline). */
-    TimePoint ordersFrom; /**< Old lease plus the longest order in flight; for servers that ignore fencing numbers. */
+    TimePoint unknownGrantsExpireAt; /**< The last grant of an earlier owner has expired by then (maximum request deadline). */
+    TimePoint ordersAllowedFrom; /**< Old lease plus the longest order in flight; for servers that ignore fencing numbers. */
 };
 
 } // namespace mimosahollow::scheduling
--- a/src/app/servingstatus.cpp
+++ b/src/app/servingstatus.cpp
@@ -19,7 +19,7 @@
     json::object object;
     object["name"] = declared != nullptr ? declared->name : "";
     object["announced"] = server.announced;
-    object["in_service"] = server.isDeclared && server.declared == scheduling::ServiceState::InService && !server.leaving;
+    object["in_service"] = server.isDeclared && server.serviceState == scheduling::ServiceState::InService && !server.leaving;
     object["running"] = server.grants;
     object["limit"] = server.slowStart.limit;
     object["adapters"] = server.slots.size();
--- a/src/scheduling/eviction.cpp
+++ b/src/scheduling/eviction.cpp
@@ -12,9 +12,9 @@
 /** Whether a load may be ordered on the server at all. */
 bool mayLoad(const PoolState &state, const ServerState &server, AdapterId adapter, TimePoint now) noexcept
 {
-    const bool ordersAllowed = server.ordersFrom <= now && server.grantsFrom <= now;
+    const bool ordersAllowed = server.ordersAllowedFrom <= now && server.grantsAllowedFrom <= now;
     const bool present = std::any_of(server.slots.begin(), server.slots.end(), [adapter](const AdapterSlot &slot) {
-        return slot.adapter == adapter || slot.next == adapter;
+        return slot.adapter == adapter || slot.nextAdapter == adapter;
     });
     return isUsable(state, server) && server.adapterSlots > 0 && ordersAllowed && !present;
 }
@@ -22,7 +22,7 @@
 // Without this replica, the others would have to carry its work; up to this part of their slots that causes no waits.
 constexpr double spareReplicaLoad = 0.5;
 // A replica that is not needed now may be needed again: it is worth a little more than nothing.
-constexpr double spareReplicaWorth = 0.1;
+constexpr double spareReplicaFactor = 0.1;
 
 /** Whether the other servers with the adapter can carry all of its requests. */
 bool isSpareReplica(const PoolState &state, const ServerState &server, AdapterId adapter) noexcept
@@ -42,15 +42,15 @@
 }
 
 // Its requests wait anyway, so its idle adapters are worth little now.
-constexpr double floodingWorth = 0.05;
+constexpr double longQueueFactor = 0.05;
 
 /** Popularity of the adapter in the slot for each of its replicas. */
 double usefulness(const PoolState &state, const ServerState &server, const AdapterSlot &slot) noexcept
 {
     const AdapterState &adapter = state.adapters[number(slot.adapter)];
     const double each = adapter.popularity / static_cast<double>(std::max<std::size_t>(1, adapter.holders.size()));
-    const double share = isFlooding(state, adapter.organisation) ? floodingWorth * each : each;
-    return isSpareReplica(state, server, slot.adapter) ? spareReplicaWorth * share : share;
+    const double share = hasLongQueue(state, adapter.lastOrganisation) ? longQueueFactor * each : each;
+    return isSpareReplica(state, server, slot.adapter) ? spareReplicaFactor * share : share;
 }
 
 struct Victim
@@ -83,10 +83,10 @@
 
 bool isEvictable(const PoolState &state, const AdapterSlot &slot) noexcept
 {
-    return slot.phase == SlotPhase::Resident && !slot.unknownUse && slot.users == 0 && state.adapters[number(slot.adapter)].waiting == 0;
+    return slot.phase == SlotPhase::Resident && !slot.mayHaveUnknownGrants && slot.users == 0 && state.adapters[number(slot.adapter)].waiting == 0;
 }
 
-LoadTarget chooseLoadTarget(const PoolState &state, AdapterId adapter, bool freeRequestSlot, double worth, TimePoint now) noexcept
+LoadTarget chooseLoadTarget(const PoolState &state, AdapterId adapter, bool freeRequestSlot, double evictionThreshold, TimePoint now) noexcept
 {
     const std::uint16_t failed = state.adapters[number(adapter)].failedServer;
     LoadTarget best;
@@ -100,7 +100,7 @@
         }
         const bool isFree = server.slots.size() < server.adapterSlots;
         const Victim victim = isFree ? Victim{} : leastUseful(state, server);
-        if (!isFree && (victim.position == LoadTarget::freeSlot || victim.usefulness >= worth)) {
+        if (!isFree && (victim.position == LoadTarget::freeSlot || victim.usefulness >= evictionThreshold)) {
             continue;
         }
         const bool isFailed = i == failed;
--- a/src/scheduling/eviction.h
+++ b/src/scheduling/eviction.h
@@ -19,10 +19,10 @@
 [[nodiscard]] bool isEvictable(const PoolState &state, const AdapterSlot &slot) noexcept;
 
 /**
- * The best server for a load. Only adapters with a popularity below @p worth (scaled like AdapterState::popularity) are
+ * The best server for a load. Only adapters with a popularity below @p evictionThreshold (scaled like AdapterState::popularity) are
  * evicted. With @p freeRequestSlot
  * only servers that could start a request at once are considered.
  */
-[[nodiscard]] LoadTarget chooseLoadTarget(const PoolState &state, AdapterId adapter, bool freeRequestSlot, double worth, TimePoint now) noexcept;
+[[nodiscard]] LoadTarget chooseLoadTarget(const PoolState &state, AdapterId adapter, bool freeRequestSlot, double evictionThreshold, TimePoint now) noexcept;
 
 } // namespace mimosahollow::scheduling
--- a/src/scheduling/loads.cpp
+++ b/src/scheduling/loads.cpp
@@ -29,7 +29,7 @@
     AdapterId adapter{};
     std::uint32_t record = noIndex;
     bool replica = false;
-    bool flooding = false; /**< The organisation's queue is long; its loads come after those of others. */
+    bool longQueue = false; /**< The organisation's queue is long; its loads come after those of others. */
     double served = std::numeric_limits<double>::infinity(); /**< Load counter of the organisation. */
     TimePoint priority = TimePoint::max();
 };
@@ -37,7 +37,7 @@
 bool wantsReplica(const PoolState &state, const AdapterState &adapter, TimePoint now) noexcept
 {
     for (std::uint32_t i = adapter.firstWaiting; i != noIndex; i = state.records[i].next) {
-        if (state.records[i].arrival + state.settings.replicaWait <= now) {
+        if (state.records[i].arrival + state.settings.replicaWaitThreshold <= now) {
             return true;
         }
     }
@@ -47,11 +47,11 @@
 /** When the load should be done: late enough loads of one organisation wait for urgent ones, but not forever. */
 TimePoint latestLoad(const PoolState &state, const RequestRecord &record) noexcept
 {
-    return std::min(record.request.deadline - leastRunTime(state, record.request), record.arrival + longestLoadDelay);
+    return std::min(record.request.deadline - minimumRunTime(state, record.request), record.arrival + longestLoadDelay);
 }
 
 /** The request of the least served organisation, the oldest among them. */
-void setStandIn(const PoolState &state, const AdapterState &adapter, LoadCandidate &candidate) noexcept
+void chooseRequest(const PoolState &state, const AdapterState &adapter, LoadCandidate &candidate) noexcept
 {
     for (std::uint32_t i = adapter.firstWaiting; i != noIndex; i = state.records[i].next) {
         const RequestRecord &record = state.records[i];
@@ -59,7 +59,7 @@
         if (served < candidate.served || (served == candidate.served && latestLoad(state, record) < candidate.priority)) {
             candidate.record = i;
             candidate.served = served;
-            candidate.flooding = isFlooding(state, record.request.organisation);
+            candidate.longQueue = hasLongQueue(state, record.request.organisation);
             candidate.priority = latestLoad(state, record);
         }
     }
@@ -67,8 +67,8 @@
 
 bool isBetter(const LoadCandidate &left, const LoadCandidate &right) noexcept
 {
-    if (left.flooding != right.flooding) {
-        return right.flooding;
+    if (left.longQueue != right.longQueue) {
+        return right.longQueue;
     }
     if (left.served != right.served) {
         return left.served < right.served;
@@ -90,7 +90,7 @@
     for (const std::uint32_t position : state.waitingAdapters) {
         const AdapterState &adapter = state.adapters[position];
         const AdapterId id{position};
-        if (position == 0 || adapter.loads > 0 || adapter.retryAt > now || std::find(skipped.begin(), skipped.end(), id) != skipped.end()) {
+        if (position == 0 || adapter.pendingLoads > 0 || adapter.retryAt > now || std::find(skipped.begin(), skipped.end(), id) != skipped.end()) {
             continue;
         }
         LoadCandidate candidate;
@@ -100,9 +100,9 @@
             continue;
         }
         ++demand.adapters;
-        setStandIn(state, adapter, candidate);
+        chooseRequest(state, adapter, candidate);
         candidate.priority -= waiterBonus * (adapter.waiting - 1);
-        demand.urgent += candidate.flooding ? 0 : 1;
+        demand.urgent += candidate.longQueue ? 0 : 1;
         if (demand.best.record == noIndex || isBetter(candidate, demand.best)) {
             demand.best = candidate;
         }
@@ -122,9 +122,9 @@
 {
     dropHolder(state, server, slot.adapter);
     slot.phase = SlotPhase::Unloading;
-    slot.unloadOrder = true;
+    slot.isUnloadOrder = true;
     slot.order = state.nextOrder++;
-    slot.next = next;
+    slot.nextAdapter = next;
     slot.since = now;
     const ServerId id = state.servers[server].id;
     actions.emplace_back(Order{slot.order, OrderKind::Unload, id, slot.adapter, state.fencing, state.settings.loadTimeout});
@@ -138,9 +138,9 @@
     AdapterSlot &slot = isFree ? addSlot(state, target.server, candidate.adapter, now) : server.slots[target.victim];
     state.loadTokens -= 1;
     ++state.loadsInFlight;
-    ++state.adapters[number(candidate.adapter)].loads;
+    ++state.adapters[number(candidate.adapter)].pendingLoads;
     slot.countsAsLoad = true;
-    slot.holdsLoadPlace = true;
+    slot.holdsLoadPermit = true;
     if (isFree) {
         orderLoad(state, target.server, slot, now, actions);
     } else {
@@ -148,7 +148,7 @@
     }
     const AcquireRequest &request = state.records[candidate.record].request;
     OrganisationState &organisation = organisationState(state, request.organisation);
-    state.loadsFloor = std::max(state.loadsFloor, organisation.servedLoads);
+    state.loadVirtualTime = std::max(state.loadVirtualTime, organisation.servedLoads);
     organisation.servedLoads += 1 / organisation.weight;
     const DecisionReason reason = candidate.replica ? DecisionReason::LoadReplica : DecisionReason::LoadOnDemand;
     actions.emplace_back(DecisionRecord{request.id, request.organisation, candidate.adapter, 1, server.id, reason, {}});
@@ -167,7 +167,7 @@
 }
 
 /** Popularity below which other adapters give way to the candidate. */
-double worthOf(const PoolState &state, const LoadCandidate &candidate) noexcept
+double evictionThresholdFor(const PoolState &state, const LoadCandidate &candidate) noexcept
 {
     if (!candidate.replica) {
         return std::numeric_limits<double>::infinity();
@@ -189,8 +189,9 @@
 {
     std::vector<AdapterId> skipped; // stays empty, without storage, unless every adapter slot is in use
     LoadDemand demand = findDemand(state, skipped, now);
-    while (demand.best.record != noIndex && state.loadTokens >= 1 && state.loadsInFlight < state.settings.loadsInFlight) {
-        const LoadTarget target = chooseLoadTarget(state, demand.best.adapter, needsFreeSlot(state, demand.best), worthOf(state, demand.best), now);
+    while (demand.best.record != noIndex && state.loadTokens >= 1 && state.loadsInFlight < state.settings.maximumLoadsInFlight) {
+        const LoadTarget target =
+            chooseLoadTarget(state, demand.best.adapter, needsFreeSlot(state, demand.best), evictionThresholdFor(state, demand.best), now);
         if (target.server == noIndex) {
             skipped.push_back(demand.best.adapter);
         } else {
@@ -200,8 +201,8 @@
     }
     const double wanted = demand.adapters + state.settings.loadTokenReserve - state.loadTokens;
     const double urgent = demand.urgent - state.loadTokens;
-    state.urgentLoadTokens = urgent > 0 ? static_cast<std::uint32_t>(std::ceil(urgent)) : 0;
-    state.wantedLoadTokens = wanted > 0 ? static_cast<std::uint32_t>(std::ceil(wanted)) : 0;
+    state.urgentLoadTokenDemand = urgent > 0 ? static_cast<std::uint32_t>(std::ceil(urgent)) : 0;
+    state.loadTokenDemand = wanted > 0 ? static_cast<std::uint32_t>(std::ceil(wanted)) : 0;
 }
 
 void recordLoadFailure(PoolState &state, AdapterId adapter, std::uint32_t server, TimePoint now)
@@ -219,14 +220,14 @@
         for (AdapterSlot &slot : state.servers[i].slots) {
             const bool ordered = slot.phase == SlotPhase::Loading || slot.phase == SlotPhase::Unloading;
             if (ordered && slot.since + state.settings.loadTimeout <= now) {
-                const AdapterId loaded = loadedBy(slot);
+                const AdapterId loaded = loadingAdapter(slot);
                 abandonLoad(state, slot);
-                returnLoadPlace(state, slot);
+                releaseLoadPermit(state, slot);
                 if (number(loaded) != 0) {
                     recordLoadFailure(state, loaded, i, now);
                 }
                 slot.phase = SlotPhase::Unknown;
-                slot.next = {};
+                slot.nextAdapter = {};
                 slot.since = now;
             }
         }
@@ -239,7 +240,7 @@
     std::uint32_t own = 0;
     for (const std::uint32_t position : state.waitingAdapters) {
         const AdapterState &waiting = state.adapters[position];
-        if (position == 0 || position == number(adapter) || waiting.loads > 0 || usableHolders(state, waiting) > 0) {
+        if (position == 0 || position == number(adapter) || waiting.pendingLoads > 0 || usableHolders(state, waiting) > 0) {
             continue;
         }
         ++all;
@@ -252,9 +253,9 @@
     // Loads are shared fairly: at most as many of each other organisation as of this one go first.
     const double ahead = std::min<double>(all, (own + 1.0) * std::max(active, 1U) - 1);
     const double shortOfTokens = std::max(0.0, ahead + 1 - state.loadTokens);
-    Duration wait = fromSeconds(shortOfTokens / state.settings.loadsPerSecond + state.loadSeconds);
+    Duration wait = fromSeconds(shortOfTokens / state.settings.loadsPerSecond + state.averageLoadSeconds);
     if (number(adapter) < state.adapters.size()) {
-        wait = std::max(wait, state.adapters[number(adapter)].retryAt - now + fromSeconds(state.loadSeconds));
+        wait = std::max(wait, state.adapters[number(adapter)].retryAt - now + fromSeconds(state.averageLoadSeconds));
     }
     return wait;
 }
--- a/src/scheduling/loads.h
+++ b/src/scheduling/loads.h
@@ -5,7 +5,7 @@
 
 namespace mimosahollow::scheduling {
 
-/** Starts the loads that are worth a token now and updates PoolState::wantedLoadTokens. */
+/** Starts the loads that are worth a token now and updates PoolState::loadTokenDemand. */
 void planLoads(PoolState &state, TimePoint now, Actions &actions);
 
 /** Turns loads and unloads that exceeded their time into unknown slots. */
--- a/src/scheduling/lookup.cpp
+++ b/src/scheduling/lookup.cpp
@@ -30,7 +30,7 @@
     state.records.reserve(settings.expectedRequests);
     state.index.reserve(settings.expectedRequests);
     state.waitingAdapters.reserve(settings.expectedRequests);
-    state.random = settings.seed;
+    state.randomState = settings.seed;
     state.popularityOrigin = now;
     state.ownedSince = now;
     return state;
@@ -66,7 +66,7 @@
 
 std::uint64_t nextRandom(PoolState &state) noexcept
 {
-    std::uint64_t mixed = state.random += 0x9E3779B97F4A7C15ULL;
+    std::uint64_t mixed = state.randomState += 0x9E3779B97F4A7C15ULL;
     mixed = (mixed ^ (mixed >> 30U)) * 0xBF58476D1CE4E5B9ULL;
     mixed = (mixed ^ (mixed >> 27U)) * 0x94D049BB133111EBULL;
     return mixed ^ (mixed >> 31U);
--- a/src/scheduling/lookup.h
+++ b/src/scheduling/lookup.h
@@ -14,8 +14,8 @@
 /** True when the server may get new work (P8, P12). */
 [[nodiscard]] inline bool isUsable(const PoolState &state, const ServerState &server) noexcept
 {
-    return server.announced && server.slowStart.warmLimit > 0 && server.isDeclared && server.declared == ServiceState::InService && !server.leaving
-           && !server.silent && state.domain == ServiceState::InService;
+    return server.announced && server.slowStart.warmLimit > 0 && server.isDeclared && server.serviceState == ServiceState::InService && !server.leaving
+           && !server.silent && state.domainState == ServiceState::InService;
 }
 
 [[nodiscard]] inline std::uint32_t usedSlots(const ServerState &server) noexcept
@@ -25,7 +25,7 @@
 
 [[nodiscard]] inline bool hasFreeSlot(const ServerState &server, TimePoint now) noexcept
 {
-    return usedSlots(server) < server.slowStart.limit && server.grantsFrom <= now;
+    return usedSlots(server) < server.slowStart.limit && server.grantsAllowedFrom <= now;
 }
 
 [[nodiscard]] inline double loadOf(const ServerState &server) noexcept
@@ -34,10 +34,10 @@
 }
 
 /** Whether the organisation sends more than the pool can serve: its queue is long. */
-[[nodiscard]] inline bool isFlooding(const PoolState &state, OrganisationId organisation) noexcept
+[[nodiscard]] inline bool hasLongQueue(const PoolState &state, OrganisationId organisation) noexcept
 {
-    constexpr std::uint32_t floodingQueue = 8; // about the requests that one server runs at a time
-    return number(organisation) < state.organisations.size() && state.organisations[number(organisation)].waiting >= floodingQueue;
+    constexpr std::uint32_t longQueueLength = 8; // about the requests that one server runs at a time
+    return number(organisation) < state.organisations.size() && state.organisations[number(organisation)].waiting >= longQueueLength;
 }
 
 /** Next pseudo-random number of the pool (splitmix64). */
--- a/src/scheduling/orders.cpp
+++ b/src/scheduling/orders.cpp
@@ -33,10 +33,10 @@
     return {};
 }
 
-void becomeUnknown(AdapterSlot &slot, TimePoint now) noexcept
+void markUnknown(AdapterSlot &slot, TimePoint now) noexcept
 {
     slot.phase = SlotPhase::Unknown;
-    slot.next = {};
+    slot.nextAdapter = {};
     slot.since = now;
 }
 
@@ -44,10 +44,10 @@
 {
     AdapterSlot &slot = state.servers[found.server].slots[found.slot];
     if (slot.phase == SlotPhase::Loading) {
-        state.loadSeconds += loadTimeWeight * (toSeconds(now - slot.since) - state.loadSeconds);
+        state.averageLoadSeconds += loadTimeWeight * (toSeconds(now - slot.since) - state.averageLoadSeconds);
     }
     abandonLoad(state, slot);
-    returnLoadPlace(state, slot);
+    releaseLoadPermit(state, slot);
     AdapterState &adapter = state.adapters[number(slot.adapter)];
     adapter.failures = 0;
     adapter.failedServer = 0xffffU;
@@ -61,34 +61,34 @@
     ServerState &server = state.servers[found.server];
     AdapterSlot unloaded = server.slots[found.slot];
     const bool mayLoad = unloaded.countsAsLoad && isUsable(state, server);
-    if (!mayLoad && unloaded.holdsLoadPlace) {
+    if (!mayLoad && unloaded.holdsLoadPermit) {
         state.loadTokens += 1; // the token was not used
     }
     eraseSlot(state, found.server, found.slot, now);
     if (!mayLoad) {
         return;
     }
-    AdapterSlot &slot = addSlot(state, found.server, unloaded.next, now);
+    AdapterSlot &slot = addSlot(state, found.server, unloaded.nextAdapter, now);
     slot.order = state.nextOrder++;
     slot.countsAsLoad = true;
-    slot.holdsLoadPlace = true;
+    slot.holdsLoadPermit = true;
     ++state.loadsInFlight;
-    ++state.adapters[number(slot.adapter)].loads;
+    ++state.adapters[number(slot.adapter)].pendingLoads;
     actions.emplace_back(Order{slot.order, OrderKind::Load, server.id, slot.adapter, state.fencing, state.settings.loadTimeout});
 }
 
 void unloadFailed(PoolState &state, const FoundOrder &found, OrderOutcome outcome, TimePoint now)
 {
     AdapterSlot &slot = state.servers[found.server].slots[found.slot];
-    if (number(slot.next) != 0) {
-        recordLoadFailure(state, slot.next, found.server, now);
+    if (number(slot.nextAdapter) != 0) {
+        recordLoadFailure(state, slot.nextAdapter, found.server, now);
     }
-    if (slot.holdsLoadPlace) {
+    if (slot.holdsLoadPermit) {
         state.loadTokens += 1; // the token was not used
     }
     abandonLoad(state, slot);
-    returnLoadPlace(state, slot);
-    becomeUnknown(slot, now);
+    releaseLoadPermit(state, slot);
+    markUnknown(slot, now);
     if (outcome != OrderOutcome::Unknown) {
         makeResident(state, found.server, slot, now); // the server did not carry it out
     }
@@ -101,13 +101,13 @@
         recordLoadFailure(state, slot.adapter, found.server, now);
     }
     abandonLoad(state, slot);
-    returnLoadPlace(state, slot);
+    releaseLoadPermit(state, slot);
     if (outcome == OrderOutcome::NotSent) {
         ServerState &server = state.servers[found.server];
-        server.grantsFrom = std::max(server.grantsFrom, now + state.settings.refusedPause);
+        server.grantsAllowedFrom = std::max(server.grantsAllowedFrom, now + state.settings.connectionRefusedBackoff);
     }
     if (outcome == OrderOutcome::Unknown) {
-        becomeUnknown(slot, now);
+        markUnknown(slot, now);
     } else {
         eraseSlot(state, found.server, found.slot, now);
     }
@@ -122,13 +122,13 @@
         return;
     }
     const AdapterSlot &slot = state.servers[found.server].slots[found.slot];
-    const bool unload = slot.phase == SlotPhase::Unloading || slot.unloadOrder;
+    const bool unload = slot.phase == SlotPhase::Unloading || slot.isUnloadOrder;
     if (outcome == OrderOutcome::Done) {
         unload ? unloadDone(state, found, now, actions) : loadDone(state, found, now);
     } else {
         unload ? unloadFailed(state, found, outcome, now) : loadFailed(state, found, outcome, now);
     }
-    serveServer(state, found.server, now, actions);
+    grantWaiting(state, found.server, now, actions);
     planLoads(state, now, actions);
 }
 
--- a/src/scheduling/ownership.cpp
+++ b/src/scheduling/ownership.cpp
@@ -5,7 +5,7 @@
 #include "placement.h"
 #include "queue.h"
 #include "residency.h"
-#include "unknownuse.h"
+#include "unknowngrants.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 namespace {
 
 // Order results of the former owner never arrive here; the servers' reports decide within about two report intervals.
-constexpr Duration inheritedLoadWait = seconds(1);
+constexpr Duration inheritedLoadRetryDelay = seconds(1);
 
 /** Takes over what a server is, not what it runs. */
 void inheritServer(PoolState &state, const ServerState &old, TimePoint now)
@@ -26,12 +26,12 @@
     server = old;
     server.grants = grants;
     server.unknownGrants = old.slowStart.warmLimit;
-    server.ordersFrom = old.checksFencing ? TimePoint{} : state.ordersFrom;
+    server.ordersAllowedFrom = old.checksFencing ? TimePoint{} : state.ordersAllowedFrom;
     ++server.slowStart.epoch;
     server.slots.clear();
     for (const AdapterSlot &slot : old.slots) {
         AdapterSlot &inherited = addSlot(state, position, slot.adapter, now);
-        inherited.unknownUse = true;
+        inherited.mayHaveUnknownGrants = true;
         if (slot.phase == SlotPhase::Resident) {
             makeResident(state, position, inherited, now);
         } else {
@@ -74,7 +74,7 @@
     record.incarnation = server.incarnation;
     record.grant = held.grant;
     record.fencing = held.fencing;
-    record.charged = held.estimatedTokens;
+    record.chargedTokens = held.estimatedTokens;
     ++server.grants;
     server.unknownGrants -= std::min(server.unknownGrants, 1U);
     if (AdapterSlot *slot = findSlot(server, held.adapter)) {
@@ -84,18 +84,18 @@
 
 } // namespace
 
-void beginOwnership(PoolState &state, const Ownership &ownership, TimePoint now)
+void takeOver(PoolState &state, const Takeover &ownership, TimePoint now)
 {
     PoolState old = std::exchange(state, makePool(state.pool, state.settings, now));
     state.fencing = ownership.fencing;
-    state.domain = old.domain;
-    state.random = old.random;
-    state.unknownUntil = ownership.unknownUntil;
-    state.ordersFrom = ownership.ordersFrom;
-    state.unreconciled = ownership.instances;
-    state.unknownUse = ownership.unknownUntil > now;
-    state.loadSeconds = old.loadSeconds;
-    state.serviceSeconds = old.serviceSeconds;
+    state.domainState = old.domainState;
+    state.randomState = old.randomState;
+    state.unknownGrantsExpireAt = ownership.unknownGrantsExpireAt;
+    state.ordersAllowedFrom = ownership.ordersAllowedFrom;
+    state.unreportedInstances = ownership.instances;
+    state.mayHaveUnknownGrants = ownership.unknownGrantsExpireAt > now;
+    state.averageLoadSeconds = old.averageLoadSeconds;
+    state.averageServiceSeconds = old.averageServiceSeconds;
     state.popularityOrigin = old.popularityOrigin;
     for (std::size_t i = 0; i < old.adapters.size(); ++i) {
         adapterState(state, AdapterId{static_cast<std::uint32_t>(i)}).popularity = old.adapters[i].popularity;
@@ -103,19 +103,19 @@
     for (const ServerState &server : old.servers) {
         inheritServer(state, server, now);
     }
-    if (!state.unknownUse) {
-        clearUnknownUse(state);
+    if (!state.mayHaveUnknownGrants) {
+        clearUnknownGrants(state);
     }
 }
 
-void clearUnknownUse(PoolState &state) noexcept
+void clearUnknownGrants(PoolState &state) noexcept
 {
-    state.unknownUse = false;
-    state.unreconciled.clear();
+    state.mayHaveUnknownGrants = false;
+    state.unreportedInstances.clear();
     for (ServerState &server : state.servers) {
         server.unknownGrants = 0;
         for (AdapterSlot &slot : server.slots) {
-            slot.unknownUse = false;
+            slot.mayHaveUnknownGrants = false;
         }
     }
 }
@@ -127,11 +127,11 @@
             adoptGrant(state, report.entry, held, now);
         }
     }
-    std::erase(state.unreconciled, report.entry);
-    if (state.unknownUse && state.unreconciled.empty()) {
-        clearUnknownUse(state);
+    std::erase(state.unreportedInstances, report.entry);
+    if (state.mayHaveUnknownGrants && state.unreportedInstances.empty()) {
+        clearUnknownGrants(state);
     }
-    serveAll(state, now, actions);
+    grantAllWaiting(state, now, actions);
     planLoads(state, now, actions);
 }
 
@@ -152,17 +152,17 @@
                 slot.order = 0;
                 continue;
             }
-            const AdapterId loaded = loadedBy(slot);
+            const AdapterId loaded = loadingAdapter(slot);
             abandonLoad(state, slot);
-            returnLoadPlace(state, slot);
-            adapterState(state, loaded).retryAt = now + inheritedLoadWait;
+            releaseLoadPermit(state, slot);
+            adapterState(state, loaded).retryAt = now + inheritedLoadRetryDelay;
             slot.phase = SlotPhase::Unknown;
             slot.order = 0;
-            slot.next = {};
+            slot.nextAdapter = {};
             slot.since = now;
         }
     }
-    serveAll(state, now, actions);
+    grantAllWaiting(state, now, actions);
     planLoads(state, now, actions);
 }
 
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -59,7 +59,7 @@
 }
 
 /** The server whose prefix cache probably holds the beginning of the prompt, when it is not much busier. */
-std::uint32_t affineServer(PoolState &state, const AcquireRequest &request, double lowestLoad, TimePoint now) noexcept
+std::uint32_t prefixAffinityServer(PoolState &state, const AcquireRequest &request, double lowestLoad, TimePoint now) noexcept
 {
     if (request.prefixHash == 0) {
         return noIndex;
@@ -90,7 +90,7 @@
     if (best.server == noIndex) {
         return {};
     }
-    const std::uint32_t affine = affineServer(state, request, best.load, now);
+    const std::uint32_t affine = prefixAffinityServer(state, request, best.load, now);
     if (affine != noIndex) {
         return {affine, best.candidates, DecisionReason::PrefixAffinity};
     }
@@ -105,7 +105,7 @@
     ++server.grants;
     if (number(request.adapter) != 0) {
         recordDemand(state, request.adapter, now);
-        state.adapters[number(request.adapter)].organisation = request.organisation;
+        state.adapters[number(request.adapter)].lastOrganisation = request.organisation;
     }
     if (AdapterSlot *slot = findSlot(server, request.adapter)) {
         ++slot->users;
@@ -117,10 +117,10 @@
     granted.grantedAt = now;
     granted.grant = state.nextGrant++;
     granted.fencing = state.fencing;
-    granted.charged = estimatedTokens(request);
+    granted.chargedTokens = estimatedTokens(request);
     OrganisationState &organisation = organisationState(state, request.organisation);
-    state.servedFloor = std::max(state.servedFloor, organisation.servedTokens);
-    organisation.servedTokens += granted.charged / organisation.weight;
+    state.tokenVirtualTime = std::max(state.tokenVirtualTime, organisation.servedTokens);
+    organisation.servedTokens += granted.chargedTokens / organisation.weight;
     ++organisation.running;
     if (request.prefixHash != 0) {
         prefixEntry(state, request.prefixHash) = {request.prefixHash, granted.server};
@@ -140,7 +140,7 @@
     }
     OrganisationState &organisation = state.organisations[number(ended.request.organisation)];
     --organisation.running;
-    organisation.servedTokens = std::max(0.0, organisation.servedTokens + (tokensUsed - ended.charged) / organisation.weight);
+    organisation.servedTokens = std::max(0.0, organisation.servedTokens + (tokensUsed - ended.chargedTokens) / organisation.weight);
     freeRecord(state, record);
 }
 
@@ -177,7 +177,7 @@
     return anyServer;
 }
 
-void serveServer(PoolState &state, std::uint32_t server, TimePoint now, Actions &actions)
+void grantWaiting(PoolState &state, std::uint32_t server, TimePoint now, Actions &actions)
 {
     while (isUsable(state, state.servers[server]) && hasFreeSlot(state.servers[server], now)) {
         const std::uint32_t record = nextForServer(state, state.servers[server]);
@@ -189,10 +189,10 @@
     }
 }
 
-void serveAll(PoolState &state, TimePoint now, Actions &actions)
+void grantAllWaiting(PoolState &state, TimePoint now, Actions &actions)
 {
     for (std::uint32_t i = 0; i < state.servers.size() && state.waiting > 0; ++i) {
-        serveServer(state, i, now, actions);
+        grantWaiting(state, i, now, actions);
     }
 }
 
--- a/src/scheduling/placement.h
+++ b/src/scheduling/placement.h
@@ -30,7 +30,7 @@
 bool refuseWithoutServers(PoolState &state, Actions &actions);
 
 /** Grants waiting requests to the server while it has free slots. */
-void serveServer(PoolState &state, std::uint32_t server, TimePoint now, Actions &actions);
-void serveAll(PoolState &state, TimePoint now, Actions &actions);
+void grantWaiting(PoolState &state, std::uint32_t server, TimePoint now, Actions &actions);
+void grantAllWaiting(PoolState &state, TimePoint now, Actions &actions);
 
 } // namespace mimosahollow::scheduling
--- a/src/scheduling/queue.cpp
+++ b/src/scheduling/queue.cpp
@@ -25,7 +25,7 @@
 TimePoint priorityOf(const PoolState &state, const RequestRecord &record)
 {
     const Duration handicap = handicapPerToken * static_cast<std::int64_t>(record.request.maximumOutputTokens);
-    return record.arrival + std::min(handicap, state.settings.ageingLimit);
+    return record.arrival + std::min(handicap, state.settings.maximumHandicap);
 }
 
 /** Keeps the better of @p best and the waiting requests of the adapter. */
@@ -54,8 +54,8 @@
     if (organisation.waiting + organisation.running > 0) {
         return;
     }
-    double tokens = state.servedFloor;
-    double loads = state.loadsFloor;
+    double tokens = state.tokenVirtualTime;
+    double loads = state.loadVirtualTime;
     bool others = false;
     for (const OrganisationState &other : state.organisations) {
         if (other.waiting + other.running > 0) {
@@ -68,9 +68,9 @@
     organisation.servedLoads = activated(organisation.servedLoads, loads, largestDebtLoads / organisation.weight);
 }
 
-Duration leastRunTime(const PoolState &state, const AcquireRequest &request) noexcept
+Duration minimumRunTime(const PoolState &state, const AcquireRequest &request) noexcept
 {
-    return fromSeconds(request.maximumOutputTokens * state.leastSecondsPerToken);
+    return fromSeconds(request.maximumOutputTokens * state.minimumSecondsPerToken);
 }
 
 double estimatedTokens(const AcquireRequest &request) noexcept
--- a/src/scheduling/queue.h
+++ b/src/scheduling/queue.h
@@ -20,7 +20,7 @@
 [[nodiscard]] std::uint32_t nextForServer(const PoolState &state, const ServerState &server) noexcept;
 
 /** The time that the request needs to run at least, if it produces as much of its maximum output as the shortest ones. */
-[[nodiscard]] Duration leastRunTime(const PoolState &state, const AcquireRequest &request) noexcept;
+[[nodiscard]] Duration minimumRunTime(const PoolState &state, const AcquireRequest &request) noexcept;
 
 /** Tokens that a grant of the request is charged with until its release. */
 [[nodiscard]] double estimatedTokens(const AcquireRequest &request) noexcept;
--- a/src/scheduling/requestindex.cpp
+++ b/src/scheduling/requestindex.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-std::size_t RequestIndex::home(const RequestId &id) const noexcept
+std::size_t RequestIndex::homePosition(const RequestId &id) const noexcept
 {
     // Sequence numbers are consecutive; the multiplication spreads them and the high half mixes into the low bits.
     const std::uint64_t mixed = (id.process ^ id.sequence) * 0x9E3779B97F4A7C15ULL;
@@ -31,7 +31,7 @@
     if (m_entries.empty()) {
         return none;
     }
-    for (std::size_t i = home(id); m_entries[i].record != none; i = (i + 1) & (m_entries.size() - 1)) {
+    for (std::size_t i = homePosition(id); m_entries[i].record != none; i = (i + 1) & (m_entries.size() - 1)) {
         if (m_entries[i].id == id) {
             return m_entries[i].record;
         }
@@ -42,7 +42,7 @@
 void RequestIndex::insert(const RequestId &id, std::uint32_t record)
 {
     reserve(m_size + 1);
-    std::size_t i = home(id);
+    std::size_t i = homePosition(id);
     while (m_entries[i].record != none) {
         i = (i + 1) & (m_entries.size() - 1);
     }
@@ -56,7 +56,7 @@
         return;
     }
     const std::size_t mask = m_entries.size() - 1;
-    std::size_t hole = home(id);
+    std::size_t hole = homePosition(id);
     while (m_entries[hole].record != none && m_entries[hole].id != id) {
         hole = (hole + 1) & mask;
     }
@@ -65,7 +65,7 @@
     }
     // Moves later entries of the same run back, so that no search ends early at the hole.
     for (std::size_t i = (hole + 1) & mask; m_entries[i].record != none; i = (i + 1) & mask) {
-        const std::size_t distance = (i - home(m_entries[i].id)) & mask;
+        const std::size_t distance = (i - homePosition(m_entries[i].id)) & mask;
         if (distance >= ((i - hole) & mask)) {
             m_entries[hole] = m_entries[i];
             hole = i;
@@ -87,7 +87,7 @@
     m_size = 0;
     for (const Entry &entry : old) {
         if (entry.record != none) {
-            std::size_t i = home(entry.id);
+            std::size_t i = homePosition(entry.id);
             while (m_entries[i].record != none) {
                 i = (i + 1) & (m_entries.size() - 1);
             }
--- a/src/scheduling/requests.cpp
+++ b/src/scheduling/requests.cpp
@@ -19,7 +19,7 @@
 constexpr Duration overloadedRetry = seconds(1); // about the time in which a full queue moves on
 
 /** Reason not to queue the request, or a wait of the load queue that it can bear. */
-bool refusedEarly(PoolState &state, const AcquireRequest &request, TimePoint now, Actions &actions)
+bool refuseIfTooLate(PoolState &state, const AcquireRequest &request, TimePoint now, Actions &actions)
 {
     const OrganisationState &organisation = organisationState(state, request.organisation);
     if (organisation.waiting >= state.settings.waitingPerOrganisation) {
@@ -27,11 +27,11 @@
         return true;
     }
     const AdapterState &adapter = adapterState(state, request.adapter);
-    if (number(request.adapter) == 0 || adapter.loads > 0 || usableHolders(state, adapter) > 0) {
+    if (number(request.adapter) == 0 || adapter.pendingLoads > 0 || usableHolders(state, adapter) > 0) {
         return false;
     }
     const Duration wait = expectedLoadWait(state, request.adapter, request.organisation, now);
-    if (now + wait + leastRunTime(state, request) < request.deadline) {
+    if (now + wait + minimumRunTime(state, request) < request.deadline) {
         return false;
     }
     refuse(request, adapter.failures > 0 ? RefusalReason::LoadFailed : RefusalReason::Overloaded, wait, actions);
@@ -45,34 +45,34 @@
     });
 }
 
-void learnRunTime(PoolState &state, const RequestRecord &record, TimePoint now) noexcept
+void updateRunTimes(PoolState &state, const RequestRecord &record, TimePoint now) noexcept
 {
     if (record.grantedAt == TimePoint{}) {
         return;
     }
     const double held = toSeconds(now - record.grantedAt);
-    state.serviceSeconds += serviceTimeWeight * (held - state.serviceSeconds);
+    state.averageServiceSeconds += serviceTimeWeight * (held - state.averageServiceSeconds);
     const double measured = held / std::max(1U, record.request.maximumOutputTokens);
-    double &least = state.leastSecondsPerToken;
+    double &least = state.minimumSecondsPerToken;
     least += (least == 0 ? 1 : (measured < least ? fallWeight : riseWeight)) * (measured - least);
 }
 
-void learnFromRelease(PoolState &state, const RequestRecord &record, const Release &release, TimePoint now) noexcept
+void applyReleaseOutcome(PoolState &state, const RequestRecord &record, const Release &release, TimePoint now) noexcept
 {
     ServerState &server = state.servers[record.server];
     if (record.incarnation != server.incarnation) {
         return;
     }
     if (release.outcome == ReleaseOutcome::ConnectionRefused) {
-        server.grantsFrom = now + state.settings.refusedPause;
+        server.grantsAllowedFrom = now + state.settings.connectionRefusedBackoff;
     }
     if (record.epoch != server.slowStart.epoch) {
         return;
     }
     switch (release.outcome) {
     case ReleaseOutcome::Completed:
-        recordAnswer(server.slowStart, toSeconds(release.firstTokenLatency), record.request.promptTokens);
-        learnRunTime(state, record, now);
+        recordResponse(server.slowStart, toSeconds(release.firstTokenLatency), record.request.promptTokens);
+        updateRunTimes(state, record, now);
         break;
     case ReleaseOutcome::ConnectionReset:
     case ReleaseOutcome::ConnectionRefused:
@@ -96,8 +96,8 @@
     if (known != noIndex) {
         // An entry instance runs one attempt at a time, so the release of the earlier one was lost.
         const std::uint32_t server = state.records[known].server;
-        endGrant(state, known, state.records[known].charged);
-        serveServer(state, server, now, actions);
+        endGrant(state, known, state.records[known].chargedTokens);
+        grantWaiting(state, server, now, actions);
     }
     if (std::max(number(request.organisation), number(request.adapter)) > state.settings.largestId) {
         refuse(request, RefusalReason::InvalidRequest, {}, actions);
@@ -119,7 +119,7 @@
         grant(state, newRecord(state, request, now), choice, now, actions);
         return;
     }
-    if (refusedEarly(state, request, now, actions)) {
+    if (refuseIfTooLate(state, request, now, actions)) {
         return;
     }
     enqueue(state, newRecord(state, request, now));
@@ -148,9 +148,9 @@
         return;
     }
     const std::uint32_t server = record.server;
-    learnFromRelease(state, record, release, now);
+    applyReleaseOutcome(state, record, release, now);
     endGrant(state, position, release.tokensUsed);
-    serveServer(state, server, now, actions);
+    grantWaiting(state, server, now, actions);
     if (!state.waitingAdapters.empty()) {
         planLoads(state, now, actions);
     }
--- a/src/scheduling/residency.cpp
+++ b/src/scheduling/residency.cpp
@@ -68,8 +68,8 @@
 {
     slot.phase = SlotPhase::Resident;
     slot.order = 0;
-    slot.unloadOrder = false;
-    slot.next = {};
+    slot.isUnloadOrder = false;
+    slot.nextAdapter = {};
     slot.since = now;
     adapterState(state, slot.adapter).holders.push_back(static_cast<std::uint16_t>(server));
 }
@@ -80,24 +80,24 @@
     std::erase(holders, static_cast<std::uint16_t>(server));
 }
 
-AdapterId loadedBy(const AdapterSlot &slot) noexcept
+AdapterId loadingAdapter(const AdapterSlot &slot) noexcept
 {
-    return slot.phase == SlotPhase::Unloading ? slot.next : slot.adapter;
+    return slot.phase == SlotPhase::Unloading ? slot.nextAdapter : slot.adapter;
 }
 
 void abandonLoad(PoolState &state, AdapterSlot &slot) noexcept
 {
     if (slot.countsAsLoad) {
-        --state.adapters[number(loadedBy(slot))].loads;
+        --state.adapters[number(loadingAdapter(slot))].pendingLoads;
         slot.countsAsLoad = false;
     }
 }
 
-void returnLoadPlace(PoolState &state, AdapterSlot &slot) noexcept
+void releaseLoadPermit(PoolState &state, AdapterSlot &slot) noexcept
 {
-    if (slot.holdsLoadPlace) {
+    if (slot.holdsLoadPermit) {
         --state.loadsInFlight;
-        slot.holdsLoadPlace = false;
+        slot.holdsLoadPermit = false;
     }
 }
 
@@ -106,7 +106,7 @@
     ServerState &owner = state.servers[server];
     AdapterSlot &slot = owner.slots[position];
     abandonLoad(state, slot);
-    returnLoadPlace(state, slot);
+    releaseLoadPermit(state, slot);
     if (slot.phase == SlotPhase::Resident) {
         dropHolder(state, server, slot.adapter);
     }
@@ -131,7 +131,7 @@
         const bool valid = number(adapter) != 0 && number(adapter) <= state.settings.largestId;
         if (valid && findSlot(owner, adapter) == nullptr && !recentlyErased(owner, adapter)) {
             AdapterSlot &slot = addSlot(state, server, adapter, now);
-            slot.unknownUse = state.unknownUse;
+            slot.mayHaveUnknownGrants = state.mayHaveUnknownGrants;
             makeResident(state, server, slot, now);
         }
     }
--- a/src/scheduling/residency.h
+++ b/src/scheduling/residency.h
@@ -17,13 +17,13 @@
 void eraseSlot(PoolState &state, std::uint32_t server, std::size_t position, TimePoint now);
 
 /** The adapter that the slot is loading or will load after its unload; 0: none. */
-[[nodiscard]] AdapterId loadedBy(const AdapterSlot &slot) noexcept;
+[[nodiscard]] AdapterId loadingAdapter(const AdapterSlot &slot) noexcept;
 
 /** The load no longer serves waiting requests; its place in flight stays taken. */
 void abandonLoad(PoolState &state, AdapterSlot &slot) noexcept;
 
 /** Returns the place in flight of a load that ended. */
-void returnLoadPlace(PoolState &state, AdapterSlot &slot) noexcept;
+void releaseLoadPermit(PoolState &state, AdapterSlot &slot) noexcept;
 
 /** Compares what the server lists with what is known; lagging lists do not undo newer knowledge. */
 void applyResidentList(PoolState &state, std::uint32_t server, const std::vector<AdapterId> &listed, TimePoint now);
--- a/src/scheduling/servers.cpp
+++ b/src/scheduling/servers.cpp
@@ -25,8 +25,8 @@
     server.slowStart.coldLimit = std::max(1U, announcement.coldLimit);
     server.slowStart.warmLimit = announcement.slots;
     resetSlowStart(server.slowStart);
-    server.ordersFrom = announcement.checksFencing ? TimePoint{} : state.ordersFrom;
-    if (state.unknownUse) {
+    server.ordersAllowedFrom = announcement.checksFencing ? TimePoint{} : state.ordersAllowedFrom;
+    if (state.mayHaveUnknownGrants) {
         server.unknownGrants = announcement.slots - std::min(announcement.slots, server.grants);
     }
 }
@@ -35,7 +35,7 @@
 {
     server.lastSeen = now;
     server.silent = false;
-    server.grantsFrom = std::min(server.grantsFrom, now);
+    server.grantsAllowedFrom = std::min(server.grantsAllowedFrom, now);
 }
 
 /** Grants that a report of the present must already include. */
@@ -95,13 +95,13 @@
         applyAvailability(state, now, actions);
         return;
     }
-    serveServer(state, position, now, actions);
+    grantWaiting(state, position, now, actions);
     planLoads(state, now, actions);
 }
 
 void setDeclaration(PoolState &state, const PoolDeclaration &declaration, TimePoint now, Actions &actions)
 {
-    state.domain = declaration.domain;
+    state.domainState = declaration.domainState;
     for (ServerState &server : state.servers) {
         server.isDeclared = false;
     }
@@ -111,7 +111,7 @@
         }
         ServerState &server = state.servers[addServer(state, declared.server)];
         server.isDeclared = true;
-        server.declared = declared.state;
+        server.serviceState = declared.state;
     }
     applyAvailability(state, now, actions);
 }
@@ -127,7 +127,7 @@
         }
     }
     if (refuseWithoutServers(state, actions)) {
-        serveAll(state, now, actions);
+        grantAllWaiting(state, now, actions);
         planLoads(state, now, actions);
     }
 }
@@ -136,7 +136,7 @@
 {
     bool changed = false;
     for (ServerState &server : state.servers) {
-        if (server.announced && !server.silent && server.lastSeen + state.settings.silence <= now) {
+        if (server.announced && !server.silent && server.lastSeen + state.settings.silenceTimeout <= now) {
             server.silent = true;
             changed = true;
         }
--- a/src/scheduling/slowstart.cpp
+++ b/src/scheduling/slowstart.cpp
@@ -27,20 +27,20 @@
 void resetSlowStart(SlowStart &state) noexcept
 {
     state.limit = std::min(state.coldLimit, state.warmLimit);
-    state.goodAnswers = 0;
+    state.goodResponses = 0;
     ++state.epoch;
 }
 
-void recordAnswer(SlowStart &state, double latency, std::uint32_t promptTokens) noexcept
+void recordResponse(SlowStart &state, double latency, std::uint32_t promptTokens) noexcept
 {
     if (latency > 0) {
         const double measured = normalised(latency, promptTokens);
-        const double baseline = state.baseline;
+        const double baseline = state.baselineSeconds;
         if (baseline == 0) {
-            state.baseline = std::max(measured, smallestBaseline);
+            state.baselineSeconds = std::max(measured, smallestBaseline);
         } else {
             const double bounded = std::min(measured, coldFactor * baseline);
-            state.baseline = std::max(smallestBaseline, baseline + (bounded - baseline) * (bounded < baseline ? fallWeight : riseWeight));
+            state.baselineSeconds = std::max(smallestBaseline, baseline + (bounded - baseline) * (bounded < baseline ? fallWeight : riseWeight));
             if (measured > coldFactor * baseline) {
                 resetSlowStart(state);
                 return;
@@ -53,10 +53,10 @@
     if (state.limit >= state.warmLimit) {
         return;
     }
-    ++state.goodAnswers;
-    if (state.goodAnswers >= state.limit) {
+    ++state.goodResponses;
+    if (state.goodResponses >= state.limit) {
         state.limit = std::min(state.limit * 2, state.warmLimit);
-        state.goodAnswers = 0;
+        state.goodResponses = 0;
     }
 }
 
--- a/src/scheduling/summary.cpp
+++ b/src/scheduling/summary.cpp
@@ -18,7 +18,7 @@
             slots += isUsable(state, state.servers[holder]) ? state.servers[holder].slowStart.limit : 0;
         }
         if (position != 0 && slots > 0) {
-            summary.waits.push_back({AdapterId{position}, fromSeconds((adapter.waiting + 1) * state.serviceSeconds / slots)});
+            summary.waits.push_back({AdapterId{position}, fromSeconds((adapter.waiting + 1) * state.averageServiceSeconds / slots)});
         }
     }
     std::sort(summary.waits.begin(), summary.waits.end(), [](const AdapterWait &left, const AdapterWait &right) {
@@ -50,7 +50,7 @@
     std::sort(summary.adapters.begin(), summary.adapters.end());
     summary.adapters.erase(std::unique(summary.adapters.begin(), summary.adapters.end()), summary.adapters.end());
     if (summary.totalSlots > 0 && (summary.freeSlots == 0 || state.waiting > summary.freeSlots)) {
-        summary.expectedWait = fromSeconds((state.waiting + 1) * state.serviceSeconds / summary.totalSlots);
+        summary.expectedWait = fromSeconds((state.waiting + 1) * state.averageServiceSeconds / summary.totalSlots);
     }
     addAdapterWaits(state, summary);
     summary.expectedLoadWait = expectedLoadWait(state, AdapterId{}, OrganisationId{}, now);
--- a/src/scheduling/tick.cpp
+++ b/src/scheduling/tick.cpp
@@ -5,25 +5,25 @@
 #include "lookup.h"
 #include "placement.h"
 #include "queue.h"
-#include "unknownuse.h"
+#include "unknowngrants.h"
 
 namespace mimosahollow::scheduling {
 
 namespace {
 
 /** Whether a waiting request cannot end before its deadline any more. */
-bool isHopeless(const PoolState &state, const RequestRecord &record, TimePoint now) noexcept
+bool cannotMeetDeadline(const PoolState &state, const RequestRecord &record, TimePoint now) noexcept
 {
     const AdapterId id = record.request.adapter;
     const AdapterState &adapter = state.adapters[number(id)];
-    const Duration run = leastRunTime(state, record.request);
+    const Duration run = minimumRunTime(state, record.request);
     if (now + run >= record.request.deadline) {
         return true;
     }
-    if (number(id) == 0 || adapter.loads > 0 || usableHolders(state, adapter) > 0) {
+    if (number(id) == 0 || adapter.pendingLoads > 0 || usableHolders(state, adapter) > 0) {
         return false;
     }
-    return std::max(now, adapter.retryAt) + fromSeconds(state.loadSeconds) + run >= record.request.deadline;
+    return std::max(now, adapter.retryAt) + fromSeconds(state.averageLoadSeconds) + run >= record.request.deadline;
 }
 
 void expireRequests(PoolState &state, TimePoint now, Actions &actions)
@@ -31,12 +31,12 @@
     for (std::uint32_t i = 0; i < state.records.size(); ++i) {
         const RequestRecord &record = state.records[i];
         if (record.phase == RequestPhase::Granted && record.request.deadline <= now) {
-            endGrant(state, i, record.charged);
+            endGrant(state, i, record.chargedTokens);
         } else if (record.phase == RequestPhase::Waiting && record.request.deadline <= now) {
             refuseWaiting(state, i, RefusalReason::DeadlineExceeded, {}, actions);
-        } else if (record.phase == RequestPhase::Waiting && isHopeless(state, record, now)) {
+        } else if (record.phase == RequestPhase::Waiting && cannotMeetDeadline(state, record, now)) {
             const bool failed = state.adapters[number(record.request.adapter)].failures > 0;
-            refuseWaiting(state, i, failed ? RefusalReason::LoadFailed : RefusalReason::Overloaded, fromSeconds(state.loadSeconds), actions);
+            refuseWaiting(state, i, failed ? RefusalReason::LoadFailed : RefusalReason::Overloaded, fromSeconds(state.averageLoadSeconds), actions);
         }
     }
 }
@@ -45,8 +45,8 @@
 
 void tick(PoolState &state, TimePoint now, Actions &actions)
 {
-    if (state.unknownUse && state.unknownUntil <= now) {
-        clearUnknownUse(state);
+    if (state.mayHaveUnknownGrants && state.unknownGrantsExpireAt <= now) {
+        clearUnknownGrants(state);
     }
     expireOrders(state, now);
     expireRequests(state, now, actions);
@@ -54,7 +54,7 @@
         applyAvailability(state, now, actions);
         return;
     }
-    serveAll(state, now, actions);
+    grantAllWaiting(state, now, actions);
     planLoads(state, now, actions);
 }
 
--- a/src/scheduling/unknownuse.h
+++ b/src/scheduling/unknowngrants.h
@@ -5,6 +5,6 @@
 namespace mimosahollow::scheduling {
 
 /** No grant of an earlier owner can exist any more that is not known. */
-void clearUnknownUse(PoolState &state) noexcept;
+void clearUnknownGrants(PoolState &state) noexcept;
 
 } // namespace mimosahollow::scheduling
--- a/src/serving/serving.cpp
+++ b/src/serving/serving.cpp
@@ -25,7 +25,7 @@
 {
     const control::FailureDomain *domain = findDomain(state.index, pool.domain);
     scheduling::PoolDeclaration declaration;
-    declaration.domain = domain == nullptr || domain->outOfService ? scheduling::ServiceState::Out : scheduling::ServiceState::InService;
+    declaration.domainState = domain == nullptr || domain->outOfService ? scheduling::ServiceState::Out : scheduling::ServiceState::InService;
     for (const control::BackendServer &server : state.index.configuration->servers) {
         if (server.domain == pool.domain && server.kind == pool.kind) {
             declaration.servers.push_back({server.id, server.outOfService ? scheduling::ServiceState::Out : scheduling::ServiceState::InService});
@@ -95,7 +95,7 @@
             gone.push_back(id);
             continue;
         }
-        owned.state.settings.loadsInFlight = loadsInFlightOf(state, *pool);
+        owned.state.settings.maximumLoadsInFlight = loadsInFlightOf(state, *pool);
         owned.state.settings.loadsPerSecond = state.index.configuration->loadRate;
         scheduling::Actions decided;
         scheduling::setDeclaration(owned.state, declarationOf(state, *pool), now, decided);
@@ -237,19 +237,19 @@
     scheduling::SchedulingSettings settings;
     settings.seed = state.random();
     settings.expectedAdapters = state.index.configuration->adapters.size() + 1;
-    settings.loadsInFlight = loadsInFlightOf(state, *pool);
+    settings.maximumLoadsInFlight = loadsInFlightOf(state, *pool);
     settings.loadsPerSecond = state.index.configuration->loadRate;
     OwnedPool owned;
     owned.state = scheduling::makePool(lease.pool, settings, now);
     owned.ownedUntil = lease.ownedUntil;
-    scheduling::Ownership ownership;
+    scheduling::Takeover ownership;
     ownership.fencing = lease.fencing;
     for (const control::Instance &instance : state.index.configuration->instances) {
         ownership.instances.push_back(instance.id);
     }
-    ownership.unknownUntil = now + maximumRequestDeadline;
-    ownership.ordersFrom = lease.ordersFrom;
-    scheduling::beginOwnership(owned.state, ownership, now);
+    ownership.unknownGrantsExpireAt = now + maximumRequestDeadline;
+    ownership.ordersAllowedFrom = lease.ordersFrom;
+    scheduling::takeOver(owned.state, ownership, now);
     state.pools.insert_or_assign(lease.pool, std::move(owned));
     scheduling::Actions decided;
     scheduling::setDeclaration(state.pools.at(lease.pool).state, declarationOf(state, *pool), now, decided);
--- a/src/serving/tokens.cpp
+++ b/src/serving/tokens.cpp
@@ -133,18 +133,18 @@
 void requestLoadTokens(ServingState &state, TimePoint now, Actions &actions)
 {
     for (auto &[pool, owned] : state.pools) {
-        while (owned.state.wantedLoadTokens > 0 && !owned.awaitsLoadToken && ownsPool(state, pool, now)) {
+        while (owned.state.loadTokenDemand > 0 && !owned.awaitsLoadToken && ownsPool(state, pool, now)) {
             owned.awaitsLoadToken = true;
             owned.loadTokenId = {0, state.nextToken++};
             admission::LeaseActions decided;
             const admission::WaitingCall waiting{owned.loadTokenId, admission::loadCost, now, now + loadTokenPatience};
             const auto admission = admission::admit(state.quotas, admission::loadAccount, waiting, now, decided);
-            const std::uint32_t wanted = owned.state.wantedLoadTokens;
+            const std::uint32_t wanted = owned.state.loadTokenDemand;
             if (admission == admission::Admission::Run) {
                 continueWith(state, owned.loadTokenId, now, actions);
             }
             carryOut(state, decided, now, actions);
-            if (admission == admission::Admission::Refused || owned.state.wantedLoadTokens >= wanted) {
+            if (admission == admission::Admission::Refused || owned.state.loadTokenDemand >= wanted) {
                 break;
             }
         }
--- a/tests/scheduling/fairness.cpp
+++ b/tests/scheduling/fairness.cpp
@@ -10,17 +10,17 @@
 TEST_CASE("A free slot goes to the organisation that was served least")
 {
     PoolFixture pool(1, 1, 2, 1);
-    pool.ask(0, 1);
+    pool.submitRequest(0, 1);
     auto running = pool.only<Grant>().value();
     for (int i = 0; i < 50; ++i) {
-        pool.ask(0, 1);
+        pool.submitRequest(0, 1);
     }
-    const RequestId small = pool.ask(0, 2);
+    const RequestId small = pool.submitRequest(0, 2);
     // It starts with the counter of the other one, so it is served second at the latest.
-    pool.giveBack(running);
+    pool.returnGrant(running);
     auto next = pool.only<Grant>().value();
     if (next.id != small) {
-        pool.giveBack(next);
+        pool.returnGrant(next);
         next = pool.only<Grant>().value();
     }
     REQUIRE(next.id == small);
@@ -28,11 +28,11 @@
     SECTION("and then they alternate")
     {
         for (int i = 0; i < 4; ++i) {
-            pool.ask(0, 2);
+            pool.submitRequest(0, 2);
         }
         int ofSmall = 0;
         for (int i = 0; i < 6; ++i) {
-            pool.giveBack(next);
+            pool.returnGrant(next);
             next = pool.only<Grant>().value();
             ofSmall += pool.all<DecisionRecord>().front().organisation == OrganisationId{2} ? 1 : 0;
         }
@@ -46,11 +46,11 @@
     PoolFixture pool(1, 1, 2, 1);
     pool.state.loadTokens = 0;
     for (std::uint32_t adapter = 10; adapter < 20; ++adapter) {
-        pool.ask(adapter, 1);
+        pool.submitRequest(adapter, 1);
     }
-    REQUIRE(pool.state.urgentLoadTokens == 0);
-    pool.ask(30, 2);
-    REQUIRE(pool.state.urgentLoadTokens == 1);
+    REQUIRE(pool.state.urgentLoadTokenDemand == 0);
+    pool.submitRequest(30, 2);
+    REQUIRE(pool.state.urgentLoadTokenDemand == 1);
     pool.actions.clear();
     grantLoadTokens(pool.state, 1, pool.now, pool.actions);
     REQUIRE(pool.only<Order>()->adapter == AdapterId{30});
@@ -63,8 +63,8 @@
         grantLoadTokens(pool.state, 1, pool.now, pool.actions);
         const auto load = pool.only<Order>().value();
         pool.finish(load);
-        pool.giveBack(running);
-        pool.giveBack(pool.only<Grant>().value());
+        pool.returnGrant(running);
+        pool.returnGrant(pool.only<Grant>().value());
         pool.actions.clear();
         grantLoadTokens(pool.state, 1, pool.now, pool.actions);
         REQUIRE(pool.only<Order>()->kind == OrderKind::Unload);
@@ -77,36 +77,36 @@
 {
     PoolFixture pool(1, 1, 2, 1);
     for (int i = 0; i < 100; ++i) {
-        pool.ask(0, 1);
-        pool.giveBack(pool.only<Grant>().value());
+        pool.submitRequest(0, 1);
+        pool.returnGrant(pool.only<Grant>().value());
     }
-    pool.ask(0, 1);
+    pool.submitRequest(0, 1);
     const auto running = pool.only<Grant>().value();
-    pool.ask(0, 1);
-    pool.ask(0, 2);
+    pool.submitRequest(0, 1);
+    pool.submitRequest(0, 2);
     REQUIRE(pool.state.organisations[2].servedTokens >= pool.state.organisations[1].servedTokens);
-    pool.giveBack(running);
+    pool.returnGrant(running);
 }
 
 // Guards against short requests behind long ones, and against long ones that never run.
 TEST_CASE("Within an organisation shorter requests go first, for a bounded time")
 {
     PoolFixture pool(1, 1, 2, 1);
-    pool.ask(0);
+    pool.submitRequest(0);
     const auto running = pool.only<Grant>().value();
-    const RequestId longOne = pool.ask(0, 1, 4000);
+    const RequestId longOne = pool.submitRequest(0, 1, 4000);
     SECTION("a short one passes soon after")
     {
         pool.now += milliseconds(500);
-        const RequestId shortOne = pool.ask(0, 1, 10);
-        pool.giveBack(running);
+        const RequestId shortOne = pool.submitRequest(0, 1, 10);
+        pool.returnGrant(running);
         REQUIRE(pool.only<Grant>()->id == shortOne);
     }
     SECTION("but not after two seconds")
     {
         pool.now += milliseconds(2100);
-        pool.ask(0, 1, 10);
-        pool.giveBack(running);
+        pool.submitRequest(0, 1, 10);
+        pool.returnGrant(running);
         REQUIRE(pool.only<Grant>()->id == longOne);
     }
 }
@@ -116,12 +116,12 @@
 {
     PoolFixture pool(1, 1, 2, 1);
     for (int i = 0; i < 1025; ++i) {
-        pool.ask(0, 1);
+        pool.submitRequest(0, 1);
         REQUIRE(pool.all<Refusal>().empty());
     }
-    pool.ask(0, 1);
+    pool.submitRequest(0, 1);
     REQUIRE(pool.only<Refusal>()->reason == RefusalReason::Overloaded);
-    pool.ask(0, 2);
+    pool.submitRequest(0, 2);
     REQUIRE(pool.all<Refusal>().empty());
 }
 
@@ -129,38 +129,38 @@
 TEST_CASE("Cancelled, repeated and expired requests")
 {
     PoolFixture pool(1, 1, 2, 1);
-    pool.ask(0);
+    pool.submitRequest(0);
     const auto running = pool.only<Grant>().value();
-    const RequestId waiting = pool.ask(0, 1, 100, seconds(2));
+    const RequestId waiting = pool.submitRequest(0, 1, 100, seconds(2));
     SECTION("a cancelled request is not granted")
     {
         pool.actions.clear();
         cancel(pool.state, waiting, pool.now, pool.actions);
-        pool.giveBack(running);
+        pool.returnGrant(running);
         REQUIRE(pool.actions.empty());
     }
     SECTION("a request sent twice is granted once")
     {
         --pool.sequence;
-        pool.ask(0);
-        pool.giveBack(running);
+        pool.submitRequest(0);
+        pool.returnGrant(running);
         REQUIRE(pool.all<Grant>().size() == 1);
         REQUIRE(pool.state.waiting == 0);
     }
     SECTION("a release sent twice counts once")
     {
-        pool.giveBack(running);
-        pool.giveBack(running);
+        pool.returnGrant(running);
+        pool.returnGrant(running);
         REQUIRE(pool.state.servers[0].grants == 1);
     }
     SECTION("a waiting request ends at its deadline, and so does the grant of a lost entry instance")
     {
-        pool.pass(seconds(2));
+        pool.advance(seconds(2));
         REQUIRE(pool.only<Refusal>()->reason == RefusalReason::DeadlineExceeded);
         pool.report(1, 1, {});
-        pool.pass(milliseconds(27999));
+        pool.advance(milliseconds(27999));
         REQUIRE(pool.state.servers[0].grants == 1);
-        pool.pass(milliseconds(1));
+        pool.advance(milliseconds(1));
         REQUIRE(pool.state.servers[0].grants == 0);
     }
 }
--- a/tests/scheduling/limits.cpp
+++ b/tests/scheduling/limits.cpp
@@ -17,8 +17,8 @@
 void warmUp(PoolFixture &pool, std::uint32_t target)
 {
     while (limitOf(pool) < target) {
-        pool.ask(0);
-        pool.giveBack(pool.only<Grant>().value());
+        pool.submitRequest(0);
+        pool.returnGrant(pool.only<Grant>().value());
     }
 }
 
@@ -28,36 +28,36 @@
 TEST_CASE("A cold server gets its limit exactly, and the limit doubles with good answers")
 {
     PoolFixture pool(1, 8, 2, 1);
-    pool.ask(0);
+    pool.submitRequest(0);
     auto running = pool.only<Grant>().value();
-    pool.ask(0);
+    pool.submitRequest(0);
     REQUIRE(pool.all<Grant>().empty());
-    pool.giveBack(running);
+    pool.returnGrant(running);
     REQUIRE(limitOf(pool) == 2);
     running = pool.only<Grant>().value();
-    pool.giveBack(running);
+    pool.returnGrant(running);
     REQUIRE(limitOf(pool) == 2);
-    pool.ask(0);
-    pool.giveBack(pool.only<Grant>().value());
+    pool.submitRequest(0);
+    pool.returnGrant(pool.only<Grant>().value());
     REQUIRE(limitOf(pool) == 4);
 
     SECTION("slow answers do not count")
     {
         for (int i = 0; i < 8; ++i) {
-            pool.ask(0);
-            pool.giveBack(pool.only<Grant>().value(), ReleaseOutcome::Completed, milliseconds(130));
+            pool.submitRequest(0);
+            pool.returnGrant(pool.only<Grant>().value(), ReleaseOutcome::Completed, milliseconds(130));
         }
         REQUIRE(limitOf(pool) == 4);
     }
     SECTION("a reset or refused connection lowers it at once, and answers to earlier grants do not raise it")
     {
         const auto outcome = GENERATE(ReleaseOutcome::ConnectionReset, ReleaseOutcome::ConnectionRefused);
-        pool.ask(0);
+        pool.submitRequest(0);
         const auto early = pool.only<Grant>().value();
-        pool.ask(0);
-        pool.giveBack(pool.only<Grant>().value(), outcome);
+        pool.submitRequest(0);
+        pool.returnGrant(pool.only<Grant>().value(), outcome);
         REQUIRE(limitOf(pool) == 1);
-        pool.giveBack(early);
+        pool.returnGrant(early);
         REQUIRE(limitOf(pool) == 1);
     }
     SECTION("a new incarnation lowers it at once")
@@ -72,11 +72,11 @@
 {
     PoolFixture pool(1, 8, 2, 1);
     warmUp(pool, 8);
-    pool.ask(0);
-    pool.giveBack(pool.only<Grant>().value(), ReleaseOutcome::Completed, milliseconds(190));
+    pool.submitRequest(0);
+    pool.returnGrant(pool.only<Grant>().value(), ReleaseOutcome::Completed, milliseconds(190));
     REQUIRE(limitOf(pool) == 8);
-    pool.ask(0);
-    pool.giveBack(pool.only<Grant>().value(), ReleaseOutcome::Completed, milliseconds(230));
+    pool.submitRequest(0);
+    pool.returnGrant(pool.only<Grant>().value(), ReleaseOutcome::Completed, milliseconds(230));
     REQUIRE(limitOf(pool) == 1);
 }
 
@@ -84,9 +84,9 @@
 TEST_CASE("A server that refuses a connection gets nothing until it reports")
 {
     PoolFixture pool(1);
-    pool.ask(0);
-    pool.giveBack(pool.only<Grant>().value(), ReleaseOutcome::ConnectionRefused);
-    pool.ask(0);
+    pool.submitRequest(0);
+    pool.returnGrant(pool.only<Grant>().value(), ReleaseOutcome::ConnectionRefused);
+    pool.submitRequest(0);
     REQUIRE(pool.all<Grant>().empty());
     pool.report(1, 0, {});
     REQUIRE(pool.only<Grant>());
@@ -98,12 +98,12 @@
     PoolFixture pool(2);
     pool.now += seconds(4);
     pool.report(2, 0, {});
-    pool.pass(seconds(1));
+    pool.advance(seconds(1));
     for (int i = 0; i < 4; ++i) {
-        pool.ask(0);
+        pool.submitRequest(0);
         REQUIRE(pool.only<Grant>()->server == ServerId{2});
     }
-    pool.ask(0);
+    pool.submitRequest(0);
     REQUIRE(pool.all<Grant>().empty());
 }
 
@@ -111,11 +111,11 @@
 TEST_CASE("A server taken out with running and waiting requests")
 {
     PoolFixture pool(2, 1, 2, 1);
-    pool.ask(0);
+    pool.submitRequest(0);
     const auto running = pool.only<Grant>().value();
-    pool.ask(0);
+    pool.submitRequest(0);
     const auto alsoRunning = pool.only<Grant>().value();
-    const RequestId waiting = pool.ask(0);
+    const RequestId waiting = pool.submitRequest(0);
     const auto service = GENERATE(ServiceState::Out, ServiceState::Leaving);
 
     SECTION("leaves the waiting request to the other server")
@@ -124,9 +124,9 @@
         setDeclaration(
             pool.state, {ServiceState::InService, {{running.server, service}, {alsoRunning.server, ServiceState::InService}}}, pool.now, pool.actions);
         REQUIRE(pool.actions.empty());
-        pool.giveBack(running);
+        pool.returnGrant(running);
         REQUIRE(pool.actions.empty());
-        pool.giveBack(alsoRunning);
+        pool.returnGrant(alsoRunning);
         REQUIRE(pool.only<Grant>()->server == alsoRunning.server);
     }
     SECTION("and with the last server the waiting request is refused as not run")
@@ -134,7 +134,7 @@
         pool.declare(2, service);
         REQUIRE(pool.only<Refusal>()->id == waiting);
         REQUIRE(pool.only<Refusal>()->reason == RefusalReason::NoCapacity);
-        pool.ask(0);
+        pool.submitRequest(0);
         REQUIRE(pool.only<Refusal>()->reason == RefusalReason::NoCapacity);
         REQUIRE_FALSE(summarise(pool.state, pool.now).inService);
     }
@@ -142,8 +142,8 @@
     {
         pool.declare(2, ServiceState::InService, service);
         REQUIRE(pool.only<Refusal>()->id == waiting);
-        pool.giveBack(running);
-        pool.ask(0);
+        pool.returnGrant(running);
+        pool.submitRequest(0);
         REQUIRE(pool.all<Grant>().empty());
     }
     SECTION("and for servers that announce that they are leaving")
@@ -154,7 +154,7 @@
     }
     SECTION("a load on a server taken out is started on another one")
     {
-        pool.ask(9);
+        pool.submitRequest(9);
         const auto load = pool.only<Order>().value();
         const ServerId other{3 - number(load.server)};
         pool.actions.clear();
@@ -169,7 +169,7 @@
     PoolFixture pool(1);
     pool.declare(0, ServiceState::InService);
     pool.announce(1, 1);
-    pool.ask(0);
+    pool.submitRequest(0);
     REQUIRE(pool.only<Refusal>()->reason == RefusalReason::NoCapacity);
 }
 
@@ -178,13 +178,13 @@
 {
     PoolFixture pool(2, 8, 2, 8);
     pool.prefix = 77;
-    pool.ask(0);
+    pool.submitRequest(0);
     const ServerId first = pool.only<Grant>()->server;
-    pool.ask(0);
+    pool.submitRequest(0);
     REQUIRE(pool.only<Grant>()->server == first);
-    pool.ask(0);
+    pool.submitRequest(0);
     REQUIRE(pool.only<Grant>()->server == first);
     REQUIRE(pool.all<DecisionRecord>().front().reason == DecisionReason::PrefixAffinity);
-    pool.ask(0);
+    pool.submitRequest(0);
     REQUIRE(pool.only<Grant>()->server != first);
 }
--- a/tests/scheduling/loads.cpp
+++ b/tests/scheduling/loads.cpp
@@ -10,12 +10,12 @@
 TEST_CASE("One load serves all requests that wait for the adapter")
 {
     PoolFixture pool(2);
-    pool.ask(9);
+    pool.submitRequest(9);
     const auto load = pool.only<Order>();
     REQUIRE(load);
     REQUIRE(load->kind == OrderKind::Load);
     REQUIRE(load->fencing == 5);
-    pool.ask(9, 2);
+    pool.submitRequest(9, 2);
     REQUIRE(pool.all<Order>().empty());
 
     SECTION("and both are granted on that server when it is done")
@@ -33,7 +33,7 @@
 TEST_CASE("An engine that restarts empty during a load")
 {
     PoolFixture pool(1);
-    pool.ask(9);
+    pool.submitRequest(9);
     const auto first = pool.only<Order>().value();
     pool.announce(1, 2);
 
@@ -66,7 +66,7 @@
     {
         pool.now += seconds(1);
         pool.report(1, 0, {});
-        pool.ask(9);
+        pool.submitRequest(9);
         REQUIRE(pool.only<Grant>());
     }
     SECTION("counts when it must be younger, and the engine starts cold")
@@ -74,7 +74,7 @@
         pool.now += seconds(3);
         pool.report(1, 0, {});
         REQUIRE(pool.state.servers[0].slowStart.limit == 1);
-        pool.ask(9);
+        pool.submitRequest(9);
         REQUIRE(pool.all<Grant>().empty());
         REQUIRE(pool.only<Order>());
     }
@@ -84,23 +84,23 @@
 TEST_CASE("A load that fails is retried on another server after a delay")
 {
     PoolFixture pool(2);
-    pool.ask(9);
+    pool.submitRequest(9);
     auto order = pool.only<Order>().value();
     const ServerId firstServer = order.server;
     pool.finish(order, OrderOutcome::Refused);
     REQUIRE(pool.all<Order>().empty());
-    pool.pass(milliseconds(190));
+    pool.advance(milliseconds(190));
     REQUIRE(pool.all<Order>().empty());
-    pool.pass(milliseconds(10));
+    pool.advance(milliseconds(10));
     order = pool.only<Order>().value();
     REQUIRE(order.server != firstServer);
 
     SECTION("with a delay that doubles")
     {
         pool.finish(order, OrderOutcome::Refused);
-        pool.pass(milliseconds(390));
+        pool.advance(milliseconds(390));
         REQUIRE(pool.all<Order>().empty());
-        pool.pass(milliseconds(10));
+        pool.advance(milliseconds(10));
         REQUIRE(pool.only<Order>());
     }
     SECTION("up to 5 s")
@@ -125,17 +125,17 @@
 TEST_CASE("A load that hangs")
 {
     PoolFixture pool(2, 4, 1);
-    pool.ask(9);
+    pool.submitRequest(9);
     const auto hung = pool.only<Order>().value();
     const std::uint32_t hungServer = number(hung.server);
-    pool.passWithReports(seconds(5), {{}, {}});
+    pool.advanceWithReports(seconds(5), {{}, {}});
     const auto &slots = pool.state.servers[hungServer - 1].slots;
     REQUIRE(slots.size() == 1);
     REQUIRE(slots[0].phase == SlotPhase::Unknown);
 
     SECTION("is retried on another server")
     {
-        pool.pass(milliseconds(200));
+        pool.advance(milliseconds(200));
         const auto retry = pool.only<Order>().value();
         REQUIRE(retry.server != hung.server);
         pool.finish(retry);
@@ -171,20 +171,20 @@
     SECTION("without tokens the pool says how many it wants")
     {
         pool.state.loadTokens = 0;
-        pool.ask(8);
-        pool.ask(9);
+        pool.submitRequest(8);
+        pool.submitRequest(9);
         REQUIRE(pool.all<Order>().empty());
-        REQUIRE(pool.state.wantedLoadTokens == 3); // two loads and the reserve
+        REQUIRE(pool.state.loadTokenDemand == 3); // two loads and the reserve
         pool.actions.clear();
         grantLoadTokens(pool.state, 1, pool.now, pool.actions);
         REQUIRE(pool.only<Order>());
     }
     SECTION("without a place in flight the load waits for one")
     {
-        pool.state.settings.loadsInFlight = 1;
-        pool.ask(8);
+        pool.state.settings.maximumLoadsInFlight = 1;
+        pool.submitRequest(8);
         const auto first = pool.only<Order>().value();
-        pool.ask(9);
+        pool.submitRequest(9);
         REQUIRE(pool.all<Order>().empty());
         pool.finish(first);
         REQUIRE(pool.only<Order>()->adapter == AdapterId{9});
@@ -197,21 +197,21 @@
     PoolFixture pool(4);
     pool.state.loadTokens = 0;
     for (std::uint32_t adapter = 1; adapter <= 8; ++adapter) {
-        pool.ask(adapter);
+        pool.submitRequest(adapter);
     }
-    pool.ask(20, 1, 100, seconds(2)); // nine loads at 4 a second take longer
+    pool.submitRequest(20, 1, 100, seconds(2)); // nine loads at 4 a second take longer
     REQUIRE(pool.only<Refusal>()->reason == RefusalReason::Overloaded);
     REQUIRE(pool.only<Refusal>()->retryAfter > seconds(2));
-    pool.ask(21, 1, 100, seconds(10));
+    pool.submitRequest(21, 1, 100, seconds(10));
     REQUIRE(pool.all<Refusal>().empty());
 
     SECTION("and a waiting one as soon as its load can no longer finish in time")
     {
-        pool.pass(seconds(4));
+        pool.advance(seconds(4));
         pool.announce(1, 1);
-        pool.pass(seconds(4));
+        pool.advance(seconds(4));
         pool.announce(1, 1);
-        pool.pass(milliseconds(1800));
+        pool.advance(milliseconds(1800));
         REQUIRE(pool.only<Refusal>()->reason == RefusalReason::Overloaded);
     }
 }
@@ -221,21 +221,21 @@
 {
     PoolFixture pool(1, 1, 2, 1);
     for (int i = 0; i < 50; ++i) {
-        pool.ask(0, 1, 100);
+        pool.submitRequest(0, 1, 100);
         const auto running = pool.only<Grant>().value();
         pool.now += seconds(2); // 20 ms a token
         pool.announce(1, 1);
-        pool.giveBack(running);
+        pool.returnGrant(running);
     }
-    pool.ask(0);
-    const RequestId inTime = pool.ask(0, 1, 100, milliseconds(2900));
-    const RequestId tooLong = pool.ask(0, 1, 200, milliseconds(4500));
-    pool.pass(milliseconds(490));
+    pool.submitRequest(0);
+    const RequestId inTime = pool.submitRequest(0, 1, 100, milliseconds(2900));
+    const RequestId tooLong = pool.submitRequest(0, 1, 200, milliseconds(4500));
+    pool.advance(milliseconds(490));
     REQUIRE(pool.all<Refusal>().empty());
-    pool.pass(milliseconds(30));
+    pool.advance(milliseconds(30));
     REQUIRE(pool.only<Refusal>()->id == tooLong);
     REQUIRE(pool.only<Refusal>()->reason == RefusalReason::Overloaded);
-    pool.pass(milliseconds(400));
+    pool.advance(milliseconds(400));
     REQUIRE(pool.only<Refusal>()->id == inTime);
 }
 
@@ -247,7 +247,7 @@
         pool.loadAdapter(1);
     }
     pool.loadAdapter(2);
-    pool.ask(3);
+    pool.submitRequest(3);
     const auto unload = pool.only<Order>().value();
     REQUIRE(unload.kind == OrderKind::Unload);
     REQUIRE(unload.adapter == AdapterId{2});
@@ -256,25 +256,25 @@
     REQUIRE(load.kind == OrderKind::Load);
     pool.finish(load);
     const auto running = pool.only<Grant>().value();
-    pool.ask(1);
+    pool.submitRequest(1);
     const auto alsoRunning = pool.only<Grant>().value();
 
     SECTION("an adapter in use is not evicted")
     {
-        pool.ask(4);
+        pool.submitRequest(4);
         REQUIRE(pool.all<Order>().empty());
-        pool.giveBack(running);
+        pool.returnGrant(running);
         REQUIRE(pool.only<Order>()->adapter == AdapterId{3});
     }
     SECTION("nor one with a waiting request")
     {
-        pool.ask(1);
-        pool.ask(1);
-        pool.ask(1);
+        pool.submitRequest(1);
+        pool.submitRequest(1);
+        pool.submitRequest(1);
         REQUIRE(pool.state.adapters[1].waiting == 1);
-        pool.giveBack(running);
-        pool.giveBack(alsoRunning);
-        pool.ask(4);
+        pool.returnGrant(running);
+        pool.returnGrant(alsoRunning);
+        pool.submitRequest(4);
         REQUIRE(pool.only<Order>()->adapter == AdapterId{3});
     }
 }
@@ -286,10 +286,10 @@
     for (int i = 0; i < 20; ++i) {
         pool.loadAdapter(1);
     }
-    pool.passWithReports(seconds(360), {{AdapterId{1}}});
+    pool.advanceWithReports(seconds(360), {{AdapterId{1}}});
     pool.loadAdapter(2);
     pool.loadAdapter(2);
-    pool.ask(3);
+    pool.submitRequest(3);
     REQUIRE(pool.only<Order>()->adapter == AdapterId{1});
 }
 
@@ -297,13 +297,13 @@
 TEST_CASE("A popular adapter gets a replica when its server stays full")
 {
     PoolFixture pool(2, 1, 2, 1);
-    pool.ask(1);
+    pool.submitRequest(1);
     const auto first = pool.only<Order>().value();
     pool.finish(first);
     const auto running = pool.only<Grant>().value();
-    pool.ask(1);
+    pool.submitRequest(1);
     REQUIRE(pool.all<Order>().empty());
-    pool.pass(milliseconds(300));
+    pool.advance(milliseconds(300));
     const auto replica = pool.only<Order>().value();
     REQUIRE(replica.server != first.server);
     pool.finish(replica);
@@ -313,17 +313,17 @@
 
     SECTION("and loses it before a less popular adapter loses its only copy")
     {
-        pool.giveBack(running);
-        pool.giveBack(second);
-        pool.ask(2);
+        pool.returnGrant(running);
+        pool.returnGrant(second);
+        pool.submitRequest(2);
         while (const auto order = pool.only<Order>()) {
             pool.finish(*order);
         }
-        pool.giveBack(pool.only<Grant>().value());
-        pool.ask(3);
+        pool.returnGrant(pool.only<Grant>().value());
+        pool.submitRequest(3);
         pool.finish(pool.only<Order>().value());
-        pool.giveBack(pool.only<Grant>().value());
-        pool.ask(4);
+        pool.returnGrant(pool.only<Grant>().value());
+        pool.submitRequest(4);
         REQUIRE(pool.only<Order>()->kind == OrderKind::Unload);
         REQUIRE(pool.only<Order>()->adapter == AdapterId{1});
     }
--- a/tests/scheduling/ownership.cpp
+++ b/tests/scheduling/ownership.cpp
@@ -16,8 +16,8 @@
     explicit NewOwner(bool checks) : PoolFixture(0, 4, 1, 4)
     {
         checksFencing = checks;
-        Ownership ownership{6, {InstanceId{1}, InstanceId{2}}, now + seconds(600), now + seconds(8)};
-        beginOwnership(state, ownership, now);
+        Takeover ownership{6, {InstanceId{1}, InstanceId{2}}, now + seconds(600), now + seconds(8)};
+        takeOver(state, ownership, now);
         declare(1, ServiceState::InService);
         announce(1, 1, {adapter});
         state.loadTokens = 100;
@@ -41,7 +41,7 @@
 TEST_CASE("A new owner counts what it does not know as in use")
 {
     NewOwner pool(true);
-    pool.ask(number(adapter));
+    pool.submitRequest(number(adapter));
     REQUIRE(pool.all<Grant>().empty());
     REQUIRE(pool.all<Order>().empty());
 
@@ -53,11 +53,11 @@
         const auto grant = pool.only<Grant>().value();
         REQUIRE(grant.fencing == 6);
         REQUIRE(pool.state.servers[0].grants == 2);
-        pool.giveBack(grant);
+        pool.returnGrant(grant);
 
         SECTION("a reported grant keeps its adapter and its slot")
         {
-            pool.ask(8);
+            pool.submitRequest(8);
             REQUIRE(pool.all<Order>().empty());
         }
         SECTION("until it is released under the number of the earlier owner")
@@ -65,8 +65,8 @@
             pool.actions.clear();
             release(pool.state, {{3, 1}, 40, 5, ReleaseOutcome::Completed, 100, milliseconds(50)}, pool.now, pool.actions);
             REQUIRE(pool.state.servers[0].grants == 0);
-            REQUIRE(pool.state.serviceSeconds < 2); // nobody knows how long it ran
-            pool.ask(8);
+            REQUIRE(pool.state.averageServiceSeconds < 2); // nobody knows how long it ran
+            pool.submitRequest(8);
             REQUIRE(pool.only<Order>()->kind == OrderKind::Unload);
         }
     }
@@ -79,17 +79,17 @@
         pool.report(1, 1, {adapter});
         REQUIRE(pool.all<Grant>().size() == 1);
         REQUIRE(pool.state.servers[0].unknownGrants == 1);
-        pool.giveBack(pool.only<Grant>().value());
-        pool.ask(8);
+        pool.returnGrant(pool.only<Grant>().value());
+        pool.submitRequest(8);
         REQUIRE(pool.all<Order>().empty());
     }
     SECTION("or until all earlier grants have expired")
     {
         pool.now += seconds(599);
-        pool.ask(8);
+        pool.submitRequest(8);
         REQUIRE(pool.all<Order>().empty());
         pool.report(1, 4, {adapter});
-        pool.pass(seconds(1));
+        pool.advance(seconds(1));
         REQUIRE(pool.only<Order>()->kind == OrderKind::Unload);
     }
 }
@@ -101,12 +101,12 @@
     NewOwner pool(checks);
     pool.reconcile(1);
     pool.reconcile(2);
-    pool.ask(8);
+    pool.submitRequest(8);
     REQUIRE(pool.all<Order>().size() == (checks ? 1U : 0U));
     if (!checks) {
-        pool.passWithReports(milliseconds(7999), {{adapter}});
+        pool.advanceWithReports(milliseconds(7999), {{adapter}});
         REQUIRE(pool.all<Order>().empty());
-        pool.pass(milliseconds(1));
+        pool.advance(milliseconds(1));
         REQUIRE(pool.only<Order>()->fencing == 6);
     }
 }
@@ -116,19 +116,19 @@
 {
     PoolFixture pool(1, 1, 1, 1);
     pool.loadAdapter(9);
-    pool.ask(9);
+    pool.submitRequest(9);
     const auto running = pool.only<Grant>().value();
-    pool.ask(9);
+    pool.submitRequest(9);
     PoolFixture next(0);
     next.actions.clear();
     importState(next.state, exportState(pool.state), 6, next.now, next.actions);
     REQUIRE(next.all<Grant>().empty());
-    next.giveBack(running);
+    next.returnGrant(running);
     REQUIRE(next.only<Grant>()->fencing == 6);
 
     SECTION("and the former owner grants nothing more")
     {
-        pool.ask(9);
+        pool.submitRequest(9);
         REQUIRE(pool.only<Refusal>()->reason == RefusalReason::NoCapacity);
     }
 }
--- a/tests/scheduling/poolfixture.h
+++ b/tests/scheduling/poolfixture.h
@@ -33,7 +33,7 @@
     void declare(std::uint32_t count, ServiceState service, ServiceState domain = ServiceState::InService)
     {
         PoolDeclaration declaration;
-        declaration.domain = domain;
+        declaration.domainState = domain;
         for (std::uint32_t i = 1; i <= count; ++i) {
             declaration.servers.push_back({ServerId{i}, service});
         }
@@ -54,7 +54,7 @@
         applyReport(state, {ServerId{server}, incarnation, running, 0, std::move(resident)}, now, actions);
     }
 
-    RequestId ask(std::uint32_t adapter, std::uint32_t organisation = 1, std::uint32_t outputTokens = 100, Duration patience = seconds(30))
+    RequestId submitRequest(std::uint32_t adapter, std::uint32_t organisation = 1, std::uint32_t outputTokens = 100, Duration timeout = seconds(30))
     {
         AcquireRequest request;
         request.id = {7, ++sequence};
@@ -64,13 +64,13 @@
         request.promptTokens = 100;
         request.maximumOutputTokens = outputTokens;
         request.prefixHash = prefix;
-        request.deadline = now + patience;
+        request.deadline = now + timeout;
         actions.clear();
         submit(state, request, now, actions);
         return request.id;
     }
 
-    void giveBack(const Grant &grant, ReleaseOutcome outcome = ReleaseOutcome::Completed, Duration latency = milliseconds(50))
+    void returnGrant(const Grant &grant, ReleaseOutcome outcome = ReleaseOutcome::Completed, Duration latency = milliseconds(50))
     {
         actions.clear();
         scheduling::release(state, {grant.id, grant.grant, grant.fencing, outcome, 150, latency}, now, actions);
@@ -82,7 +82,7 @@
         orderFinished(state, order.order, outcome, now, actions);
     }
 
-    void pass(Duration duration)
+    void advance(Duration duration)
     {
         now += duration;
         actions.clear();
@@ -90,7 +90,7 @@
     }
 
     /** Lets time pass while the servers keep reporting what they hold. */
-    void passWithReports(Duration duration, const std::vector<std::vector<AdapterId>> &resident)
+    void advanceWithReports(Duration duration, const std::vector<std::vector<AdapterId>> &resident)
     {
         const TimePoint end = now + duration;
         while (now < end) {
@@ -99,7 +99,7 @@
                 report(i + 1, 0, resident[i]);
             }
         }
-        pass(Duration{});
+        advance(Duration{});
     }
 
     template<typename Kind>
@@ -124,12 +124,12 @@
     /** Loads the adapter by a request that is returned at once. Returns the server. */
     ServerId loadAdapter(std::uint32_t adapter)
     {
-        ask(adapter);
+        submitRequest(adapter);
         while (const auto order = only<Order>()) {
             finish(*order);
         }
         const auto granted = only<Grant>().value();
-        giveBack(granted);
+        returnGrant(granted);
         return granted.server;
     }
 
--- a/tests/scheduling/properties.cpp
+++ b/tests/scheduling/properties.cpp
@@ -29,13 +29,13 @@
 }
 
 /** The first violation in some long runs. */
-std::string firstViolation(const std::function<void(PoolState &)> &sabotage)
+std::string firstViolation(const std::function<void(PoolState &)> &injectFault)
 {
     for (std::uint64_t run = 0; run < 20; ++run) {
-        RandomRun trial(sabotage);
+        RandomRun trial(injectFault);
         trial.run(randomEvents(seed + run, 2000));
-        if (!trial.ledger.violation.empty()) {
-            return trial.ledger.violation;
+        if (!trial.checker.violation.empty()) {
+            return trial.checker.violation;
         }
     }
     return {};
@@ -57,7 +57,7 @@
                 *rc::gen::scale(4, rc::gen::container<std::vector<RandomEvent>>(rc::gen::container<RandomEvent>(rc::gen::arbitrary<std::uint8_t>())));
             RandomRun run;
             run.run(events);
-            RC_ASSERT(run.ledger.violation == std::string());
+            RC_ASSERT(run.checker.violation == std::string());
         };
         const auto result = rc::detail::checkTestable(property, rc::detail::TestMetadata(), parameters);
         std::ostringstream message;
@@ -73,7 +73,7 @@
             INFO("run " << i);
             RandomRun run;
             run.run(randomEvents(seed + i, 3000));
-            REQUIRE(run.ledger.violation == std::string());
+            REQUIRE(run.checker.violation == std::string());
             grants += run.grants;
             unloads += run.unloads;
         }
@@ -83,7 +83,7 @@
 }
 
 // Guards against a checker that sees nothing: each broken variant must be found.
-TEST_CASE("The ledger finds deliberately broken variants")
+TEST_CASE("The property checker detects deliberately broken variants")
 {
     REQUIRE(firstViolation({}).empty());
     SECTION("an owner that takes another server for a holder of the adapter")
@@ -129,9 +129,9 @@
     SECTION("an owner that ignores what was taken out")
     {
         REQUIRE(firstViolation([](PoolState &state) {
-                    state.domain = ServiceState::InService;
+                    state.domainState = ServiceState::InService;
                     for (ServerState &server : state.servers) {
-                        server.declared = ServiceState::InService;
+                        server.serviceState = ServiceState::InService;
                         server.leaving = false;
                     }
                 })
--- a/tests/scheduling/ledger.h
+++ b/tests/scheduling/propertychecker.h
@@ -14,7 +14,7 @@
  * Records what happened outside the decision code, and judges every action against the properties P1, P2, P7, P8 and P12.
  * Shares no state with the decision code.
  */
-class Ledger
+class PropertyChecker
 {
 public:
     struct Server
@@ -54,7 +54,7 @@
     {
         Server &server = servers[id];
         server.adapters.clear();
-        cool(server);
+        resetLimit(server);
     }
 
     /** @p good: a fast complete answer; @p cold: an outcome that shows a cold server. */
@@ -63,7 +63,7 @@
         Server &server = servers[call.grant.server];
         server.hasBaseline = server.hasBaseline || (call.epoch == server.epoch && good);
         if (call.epoch == server.epoch && cold) {
-            cool(server);
+            resetLimit(server);
         } else if (call.epoch == server.epoch && good && server.limit < server.slots && ++server.good >= server.limit) {
             server.limit = std::min(server.limit * 2, server.slots);
             server.good = 0;
@@ -88,7 +88,7 @@
         });
     }
 
-    void newOwner()
+    void ownerReplaced()
     {
         waiting.clear(); // the entry instances ask again
         orders.clear();
@@ -97,12 +97,12 @@
         }
     }
 
-    void judge(const Actions &actions)
+    void check(const Actions &actions)
     {
         for (const Action &action : actions) {
             std::visit(
                 [this](const auto &content) {
-                    judgeOne(content);
+                    checkAction(content);
                 },
                 action);
         }
@@ -122,7 +122,7 @@
         }
     }
 
-    static void cool(Server &server)
+    static void resetLimit(Server &server)
     {
         server.limit = std::min(server.coldLimit, server.slots);
         server.good = 0;
@@ -136,7 +136,7 @@
         }));
     }
 
-    void judgeOne(const Grant &grant)
+    void checkAction(const Grant &grant)
     {
         const auto request = waiting.find(grant.id);
         require(request != waiting.end(), "a request is answered once");
@@ -152,12 +152,12 @@
         require(inUse(grant.server, AdapterId{}) <= server.limit, "P7");
     }
 
-    void judgeOne(const Refusal &refusal)
+    void checkAction(const Refusal &refusal)
     {
         require(waiting.erase(refusal.id) == 1, "a request is answered once");
     }
 
-    void judgeOne(const Order &order)
+    void checkAction(const Order &order)
     {
         orders[order.order] = order;
         if (order.kind == OrderKind::Load) {
@@ -174,7 +174,7 @@
         servers[order.server].adapters.erase(order.adapter);
     }
 
-    void judgeOne(const DecisionRecord &)
+    void checkAction(const DecisionRecord &)
     {
     }
 };
--- a/tests/scheduling/randomrun.h
+++ b/tests/scheduling/randomrun.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "ledger.h"
+#include "propertychecker.h"
 
 #include <array>
 #include <functional>
@@ -10,7 +10,7 @@
 /** One event of a random run: its kind and three operands. */
 using RandomEvent = std::array<std::uint8_t, 4>;
 
-/** Feeds events to a pool and to the ledger. */
+/** Feeds events to a pool and to the checker. */
 class RandomRun
 {
 public:
@@ -19,12 +19,13 @@
     static constexpr std::uint32_t slots = 4;
     static constexpr std::uint32_t adapterSlots = 2;
 
-    /** @p sabotage is called after each event to break the state on purpose. */
-    explicit RandomRun(std::function<void(PoolState &)> sabotage = {}) : m_sabotage(std::move(sabotage)), m_state(makePool(PoolId{1}, settings(), m_now))
+    /** @p injectFault is called after each event to break the state on purpose. */
+    explicit RandomRun(std::function<void(PoolState &)> injectFault = {})
+        : m_injectFault(std::move(injectFault)), m_state(makePool(PoolId{1}, settings(), m_now))
     {
         m_state.fencing = 1;
         for (std::uint32_t i = 1; i <= serverCount; ++i) {
-            ledger.servers[ServerId{i}] = {ServiceState::InService, false, slots, 1, 1, 0, 0, false, {}};
+            checker.servers[ServerId{i}] = {ServiceState::InService, false, slots, 1, 1, 0, 0, false, {}};
         }
         declare();
         for (std::uint32_t i = 1; i <= serverCount; ++i) {
@@ -38,16 +39,16 @@
         for (const RandomEvent &event : events) {
             m_actions.clear();
             apply(event);
-            if (m_sabotage) {
-                m_sabotage(m_state);
+            if (m_injectFault) {
+                m_injectFault(m_state);
             }
-            if (!ledger.violation.empty()) {
+            if (!checker.violation.empty()) {
                 return;
             }
         }
     }
 
-    Ledger ledger;
+    PropertyChecker checker;
     std::size_t grants = 0;
     std::size_t unloads = 0;
 
@@ -65,13 +66,13 @@
         const ServerId server{1U + event[1] % serverCount};
         const int kind = event[0] % 16;
         if (kind < 4) {
-            ask(event);
+            submitRequest(event);
         } else if (kind < 7) {
-            giveBack(event);
+            returnGrant(event);
         } else if (kind < 10) {
             finishOrder(event);
         } else if (kind == 10) {
-            pass(milliseconds(10 * (1 + event[1])));
+            advance(milliseconds(10 * (1 + event[1])));
         } else if (kind == 11) {
             report(server);
         } else if (kind == 12) {
@@ -101,18 +102,18 @@
         }
     }
 
-    void judge()
+    void check()
     {
         for (const Action &action : m_actions) {
             grants += std::holds_alternative<Grant>(action) ? 1 : 0;
             const auto *order = std::get_if<Order>(&action);
             unloads += order != nullptr && order->kind == OrderKind::Unload ? 1 : 0;
         }
-        ledger.judge(m_actions);
+        checker.check(m_actions);
         m_actions.clear();
     }
 
-    void ask(const RandomEvent &event)
+    void submitRequest(const RandomEvent &event)
     {
         AcquireRequest request;
         request.id = {1, ++m_sequence};
@@ -121,17 +122,17 @@
         request.adapter = AdapterId{event[2] % (adapterCount + 1U)};
         request.maximumOutputTokens = event[3];
         request.deadline = m_now + milliseconds(200) * (1 + event[3]);
-        ledger.submitted(request);
+        checker.submitted(request);
         submit(m_state, request, m_now, m_actions);
-        judge();
+        check();
     }
 
-    void giveBack(const RandomEvent &event)
+    void returnGrant(const RandomEvent &event)
     {
-        if (ledger.running.empty()) {
+        if (checker.running.empty()) {
             return;
         }
-        const Ledger::Running call = std::next(ledger.running.begin(), event[1] % static_cast<std::ptrdiff_t>(ledger.running.size()))->second;
+        const PropertyChecker::Running call = std::next(checker.running.begin(), event[1] % static_cast<std::ptrdiff_t>(checker.running.size()))->second;
         constexpr ReleaseOutcome outcomes[] = {ReleaseOutcome::Completed,
                                                ReleaseOutcome::Completed,
                                                ReleaseOutcome::Completed,
@@ -140,20 +141,20 @@
                                                ReleaseOutcome::ConnectionReset};
         const ReleaseOutcome outcome = outcomes[event[2] % std::size(outcomes)];
         const bool completed = outcome == ReleaseOutcome::Completed;
-        const bool slow = completed && event[3] % 32 == 0 && ledger.servers[call.grant.server].hasBaseline; // far above 4 x the baseline
+        const bool slow = completed && event[3] % 32 == 0 && checker.servers[call.grant.server].hasBaseline; // far above 4 x the baseline
         // The owner learns nothing from a grant that it does not know.
-        ledger.ended(call, completed && !slow && !call.unknown, (slow || outcome == ReleaseOutcome::ConnectionReset) && !call.unknown);
+        checker.ended(call, completed && !slow && !call.unknown, (slow || outcome == ReleaseOutcome::ConnectionReset) && !call.unknown);
         const Duration latency = slow ? seconds(60) : milliseconds(50);
         scheduling::release(m_state, {call.request.id, call.grant.grant, call.grant.fencing, outcome, 10, completed ? latency : Duration{}}, m_now, m_actions);
-        judge();
+        check();
     }
 
     void finishOrder(const RandomEvent &event)
     {
-        if (ledger.orders.empty()) {
+        if (checker.orders.empty()) {
             return;
         }
-        const std::uint64_t order = std::next(ledger.orders.begin(), event[1] % static_cast<std::ptrdiff_t>(ledger.orders.size()))->first;
+        const std::uint64_t order = std::next(checker.orders.begin(), event[1] % static_cast<std::ptrdiff_t>(checker.orders.size()))->first;
         constexpr OrderOutcome outcomes[] = {OrderOutcome::Done,
                                              OrderOutcome::Done,
                                              OrderOutcome::Done,
@@ -163,103 +164,103 @@
                                              OrderOutcome::Unknown,
                                              OrderOutcome::StaleFencing};
         const OrderOutcome outcome = outcomes[event[2] % std::size(outcomes)];
-        const Order finished = ledger.orders.at(order);
-        ledger.ordered(order, outcome);
+        const Order finished = checker.orders.at(order);
+        checker.ordered(order, outcome);
         if (finished.kind == OrderKind::Unload && outcome != OrderOutcome::Done) {
-            ledger.servers[finished.server].adapters.insert(finished.adapter); // still there
+            checker.servers[finished.server].adapters.insert(finished.adapter); // still there
         }
         orderFinished(m_state, order, outcome, m_now, m_actions);
-        judge();
+        check();
     }
 
-    void pass(Duration duration)
+    void advance(Duration duration)
     {
         m_now += duration;
-        ledger.expire(m_now);
+        checker.expire(m_now);
         tick(m_state, m_now, m_actions);
-        judge();
+        check();
     }
 
     [[nodiscard]] std::vector<AdapterId> resident(ServerId server) const
     {
-        const auto &adapters = ledger.servers.at(server).adapters;
+        const auto &adapters = checker.servers.at(server).adapters;
         return {adapters.begin(), adapters.end()};
     }
 
     void report(ServerId server)
     {
         std::uint32_t running = 0;
-        for (const auto &[id, call] : ledger.running) {
+        for (const auto &[id, call] : checker.running) {
             running += call.grant.server == server ? 1 : 0;
         }
         applyReport(m_state, {server, m_incarnations[number(server)], running, 0, resident(server)}, m_now, m_actions);
-        judge();
+        check();
     }
 
     void restart(ServerId server, bool leaves)
     {
         ++m_incarnations[number(server)];
-        ledger.servers[server].leaving = leaves && m_incarnations[number(server)] % 4 == 0;
+        checker.servers[server].leaving = leaves && m_incarnations[number(server)] % 4 == 0;
         // Orders of the earlier process come to nothing.
-        std::erase_if(ledger.orders, [server](const auto &entry) {
+        std::erase_if(checker.orders, [server](const auto &entry) {
             return entry.second.server == server;
         });
-        ledger.restarted(server);
+        checker.restarted(server);
         announce(server);
     }
 
     void announce(ServerId server)
     {
-        const Ledger::Server &known = ledger.servers[server];
+        const PropertyChecker::Server &known = checker.servers[server];
         announceServer(
             m_state, {server, m_incarnations[number(server)], slots, adapterSlots, known.coldLimit, true, known.leaving, resident(server)}, m_now, m_actions);
-        judge();
+        check();
     }
 
     void declare()
     {
-        PoolDeclaration declaration{ledger.domain, {}};
-        for (const auto &[id, server] : ledger.servers) {
+        PoolDeclaration declaration{checker.domain, {}};
+        for (const auto &[id, server] : checker.servers) {
             declaration.servers.push_back({id, server.declared});
         }
         setDeclaration(m_state, declaration, m_now, m_actions);
-        judge();
+        check();
     }
 
     void changeDeclaration(ServerId server, const RandomEvent &event)
     {
         constexpr ServiceState states[] = {ServiceState::InService, ServiceState::InService, ServiceState::Out, ServiceState::Leaving};
-        ledger.servers[server].declared = states[event[2] % std::size(states)];
-        ledger.domain = event[3] % 8 == 0 ? ServiceState::Out : ServiceState::InService;
+        checker.servers[server].declared = states[event[2] % std::size(states)];
+        checker.domain = event[3] % 8 == 0 ? ServiceState::Out : ServiceState::InService;
         declare();
     }
 
     void cancelOne(const RandomEvent &event)
     {
-        if (!ledger.waiting.empty()) {
-            const RequestId id = std::next(ledger.waiting.begin(), event[1] % static_cast<std::ptrdiff_t>(ledger.waiting.size()))->first;
-            ledger.waiting.erase(id);
+        if (!checker.waiting.empty()) {
+            const RequestId id = std::next(checker.waiting.begin(), event[1] % static_cast<std::ptrdiff_t>(checker.waiting.size()))->first;
+            checker.waiting.erase(id);
             cancel(m_state, id, m_now, m_actions);
-            judge();
+            check();
         }
     }
 
     void giveTokens(const RandomEvent &event)
     {
         grantLoadTokens(m_state, 1 + event[2] % 3, m_now, m_actions);
-        judge();
+        check();
     }
 
     /** The owner is lost; the next one knows only what servers and entry instances tell. */
     void changeOwner()
     {
-        ledger.newOwner();
+        checker.ownerReplaced();
         const std::uint64_t orders = m_state.nextOrder;
         const FencingNumber fencing = m_state.fencing + 1;
         m_state = makePool(PoolId{1}, settings(), m_now);
         m_state.nextOrder = orders; // results of earlier orders do not arrive at the new owner
-        beginOwnership(m_state, {fencing, {InstanceId{1}, InstanceId{2}}, m_now + seconds(52), m_now}, m_now);
-        for (auto &[id, server] : ledger.servers) {
+        takeOver(m_state, {fencing, {InstanceId{1}, InstanceId{2}}, m_now + seconds(52), m_now}, m_now);
+        for (auto &[id, server] : checker.servers) {
             // Orders in flight may have taken effect; the servers list what they hold.
             server.limit = std::min(server.coldLimit, server.slots);
             server.good = 0;
@@ -267,7 +268,7 @@
             server.hasBaseline = false;
         }
         declare();
-        for (const auto &[id, server] : ledger.servers) {
+        for (const auto &[id, server] : checker.servers) {
             announce(id);
         }
         reconcile(InstanceId{1});
@@ -276,19 +277,19 @@
     void reconcile(InstanceId instance)
     {
         GrantReport report{instance, {}};
-        for (auto &[id, call] : ledger.running) {
+        for (auto &[id, call] : checker.running) {
             if (call.unknown && call.request.entry == instance) {
                 report.grants.push_back(
                     {id, call.grant.grant, call.grant.fencing, call.grant.server, call.request.organisation, call.request.adapter, 10, call.request.deadline});
                 call.unknown = false;
-                call.epoch = ledger.servers[call.grant.server].epoch;
+                call.epoch = checker.servers[call.grant.server].epoch;
             }
         }
         reconcileGrants(m_state, report, m_now, m_actions);
-        judge();
+        check();
     }
 
-    std::function<void(PoolState &)> m_sabotage;
+    std::function<void(PoolState &)> m_injectFault;
     TimePoint m_now{seconds(1000)};
     PoolState m_state;
     Actions m_actions;
