--- a/include/mimosahollow/serving/call.h
+++ b/include/mimosahollow/serving/call.h
@@ -26,20 +26,20 @@
     OrganisationId organisation{}; /**< 0 on an open route without a key. */
     AdapterId adapter{};
     std::string kind; /**< Base model or plain service. */
-    std::string served; /**< "base:name@version" for model calls. */
+    std::string servedModel; /**< "base:name@version" for model calls. */
     std::string adapterName;
     TimePoint deadline{};
-    double reserved = 0; /**< Tokens taken from the organisation's quota. */
+    double reservedTokens = 0; /**< Tokens taken from the organisation's quota. */
     bool repeatable = false;
     std::uint32_t recordAttempts = 0; /**< BeginCalls sent. */
-    TimePoint recordAgainAt{}; /**< When the next BeginCall asks whether the first call with the same key has ended. */
+    TimePoint nextRecordAttempt{}; /**< When the next BeginCall asks whether the first call with the same key has ended. */
     bool recorded = false; /**< An idempotency record exists. */
     bool mayHaveRun = false; /**< Bytes of an earlier attempt reached a server, so "not run" is no longer true. */
-    bool answered = false; /**< The caller left or was refused; only the result of the BeginCall is awaited. */
+    bool abandoned = false; /**< The caller left or was refused; only the result of the BeginCall is awaited. */
     control::CallKey callKey;
-    control::CommandId begin;
+    control::CommandId beginCommandId;
     std::uint32_t attempts = 0; /**< Grants used. */
-    std::uint32_t searches = 0; /**< Pools that refused since the last attempt. */
+    std::uint32_t poolRefusals = 0; /**< Pools that refused since the last attempt. */
     PoolId pool{}; /**< Asked or running there. */
     InstanceId owner{}; /**< Of the pool when it was asked. */
     std::uint64_t grant = 0;
--- a/include/mimosahollow/serving/configurationindex.h
+++ b/include/mimosahollow/serving/configurationindex.h
@@ -23,12 +23,12 @@
 {
     std::shared_ptr<const control::Configuration> configuration;
     // Position + 1 by id; 0 stands for an unknown id.
-    std::vector<std::uint32_t> organisations;
-    std::vector<std::uint32_t> adapters;
-    std::vector<std::uint32_t> servers;
-    std::vector<std::uint32_t> domains;
+    std::vector<std::uint32_t> organisationPositions;
+    std::vector<std::uint32_t> adapterPositions;
+    std::vector<std::uint32_t> serverPositions;
+    std::vector<std::uint32_t> domainPositions;
     /** Hash of "base:name@version" and the adapter, sorted. Strings would cost 9 MB more for 93,000 adapters. */
-    std::vector<std::pair<std::uint64_t, AdapterId>> adapterNames;
+    std::vector<std::pair<std::uint64_t, AdapterId>> adapterNameHashes;
 };
 
 [[nodiscard]] ConfigurationIndex buildConfigurationIndex(std::shared_ptr<const control::Configuration> configuration);
--- a/include/mimosahollow/serving/serving.h
+++ b/include/mimosahollow/serving/serving.h
@@ -42,16 +42,16 @@
 void handlePeerMessage(ServingState &state, InstanceId from, PeerMessage message, TimePoint now, Actions &actions);
 
 /** The link to an instance broke; calls that wait for its grants look elsewhere. */
-void peerLost(ServingState &state, InstanceId peer, TimePoint now, Actions &actions);
+void handlePeerDisconnected(ServingState &state, InstanceId peer, TimePoint now, Actions &actions);
 
 /** The link could not take a message for @p peer. */
-void sendFailed(ServingState &state, InstanceId peer, const PeerMessage &message, TimePoint now, Actions &actions);
+void handleSendFailure(ServingState &state, InstanceId peer, const PeerMessage &message, TimePoint now, Actions &actions);
 
 /** A new configuration is in force. @p self is the number of this instance in it. */
 void setConfiguration(
     ServingState &state, std::shared_ptr<const control::Configuration> configuration, InstanceId self, DomainId home, TimePoint now, Actions &actions);
 
-void setFreshness(ServingState &state, TimePoint freshUntil) noexcept;
+void setFreshUntil(ServingState &state, TimePoint freshUntil) noexcept;
 void setPoolLease(ServingState &state, const PoolLease &lease, TimePoint now, Actions &actions);
 
 /** The lease of the home domain's token buckets. */
--- a/include/mimosahollow/serving/servingstate.h
+++ b/include/mimosahollow/serving/servingstate.h
@@ -26,14 +26,14 @@
     scheduling::PoolState state;
     TimePoint ownedUntil{}; /**< The lease may not be used after this time. */
     bool awaitsLoadToken = false; /**< A load token is being obtained from the load bucket. */
-    RequestId loadTokenId; /**< Names the waiting token in the quota leases. */
+    RequestId loadTokenRequestId; /**< Names the waiting token in the quota leases. */
 };
 
 /** An order on its way to a backend server. */
 struct PendingOrder
 {
     PoolId pool{};
-    std::uint64_t order = 0; /**< Number in the pool's state. */
+    std::uint64_t poolOrder = 0; /**< Number in the pool's state. */
     FencingNumber fencing = 0; /**< Of the ownership that gave it; the next one counts its orders from 1 again. */
 };
 
@@ -52,16 +52,16 @@
     admission::QuotaLeases quotas;
     admission::BucketOwner buckets;
     TimePoint bucketsOwnedUntil{};
-    admission::RetryBudget retries;
+    admission::RetryBudget retryBudget;
     std::map<PoolId, OwnedPool> pools;
     std::vector<routing::PoolSummary> summaries; /**< One for each pool of the configuration, in its order. */
     std::map<PoolId, FencingNumber> reportedFencing; /**< Owner that has this instance's grant report. */
     std::unordered_map<RequestId, Call> calls;
-    std::unordered_map<std::uint64_t, PendingOrder> orders;
+    std::unordered_map<std::uint64_t, PendingOrder> pendingOrders;
     std::uint64_t nextOrder = 1;
-    std::uint64_t nextToken = 1;
-    TimePoint nextSummaries{};
-    TimePoint nextRemoteSummaries{};
+    std::uint64_t nextLoadTokenSequence = 1;
+    TimePoint nextSummariesAt{};
+    TimePoint nextRemoteSummariesAt{};
     std::mt19937_64 random;
 };
 
--- a/src/app/servingthread.cpp
+++ b/src/app/servingthread.cpp
@@ -123,7 +123,7 @@
         indexInstances(*changed->configuration);
         serving::setConfiguration(m_state, std::move(changed->configuration), changed->self, changed->home, now, m_actions);
     } else if (const auto *freshness = std::get_if<coordination::FreshnessChanged>(&news)) {
-        serving::setFreshness(m_state, freshness->freshUntil);
+        serving::setFreshUntil(m_state, freshness->freshUntil);
     } else if (const auto *lease = std::get_if<coordination::LeaseChanged>(&news)) {
         if (lease->buckets) {
             serving::setBucketLease(m_state, lease->fencing, lease->ownedUntil, now);
@@ -150,7 +150,7 @@
         if (const auto *down = std::get_if<link::PeerDown>(&event)) {
             const auto peer = m_idsByName.find(down->peer);
             if (peer != m_idsByName.end()) {
-                serving::peerLost(m_state, peer->second, now, m_actions);
+                serving::handlePeerDisconnected(m_state, peer->second, now, m_actions);
             }
         }
         m_controlBacklog.push_back(std::move(event));
@@ -195,7 +195,7 @@
     }
     auto frame = encodeServingMessage(message.message, std::chrono::steady_clock::now());
     if (frame && !m_ports.sendFrame(name->second, std::move(*frame))) {
-        serving::sendFailed(m_state, message.to, message.message, std::chrono::steady_clock::now(), m_actions);
+        serving::handleSendFailure(m_state, message.to, message.message, std::chrono::steady_clock::now(), m_actions);
     }
 }
 
--- a/src/serving/attempts.cpp
+++ b/src/serving/attempts.cpp
@@ -58,11 +58,11 @@
 }
 
 /** The caller left before the call was sent to a server. */
-void abandonWaiting(ServingState &state, Call &call, TimePoint now, Actions &actions)
+void abandonWaitingCall(ServingState &state, Call &call, TimePoint now, Actions &actions)
 {
     const RequestId id = call.request.id;
     if (call.stage == CallStage::Recording) {
-        call.answered = true; // the record may still be committed and must then be withdrawn
+        call.abandoned = true; // the record may still be committed and must then be withdrawn
         return;
     }
     if (call.stage == CallStage::AwaitingTokens) {
@@ -79,7 +79,7 @@
 bool mayRetry(ServingState &state, const Call &call, const gateway::ServingResult &result, TimePoint now)
 {
     const bool safe = call.repeatable || wasNotSent(result.outcome);
-    return safe && now < call.deadline && call.attempts < maximumAttempts && admission::takeRetry(state.retries);
+    return safe && now < call.deadline && call.attempts < maximumAttempts && admission::takeRetry(state.retryBudget);
 }
 
 } // namespace
@@ -93,7 +93,7 @@
     if (found->second.stage != CallStage::Running) {
         // The gateway has ended the call already: its caller left, or the deadline has passed.
         if (result.grant == 0) {
-            abandonWaiting(state, found->second, now, actions);
+            abandonWaitingCall(state, found->second, now, actions);
         }
         return;
     }
@@ -112,10 +112,10 @@
         finishCall(state, result.id, used, now, actions);
     } else if (mayRetry(state, call, result, now)) {
         actions.push_back(LogDecision{"retry", result.id, "", call.adapterName, 0, "", "attempt-failed"});
-        call.searches = 0;
+        call.poolRefusals = 0;
         // Returned first, so that the pool's owner sees the failure before it chooses again.
         returnGrant(state, pool, release, now, actions);
-        acquire(state, call, now, actions);
+        requestGrant(state, call, now, actions);
         return;
     } else {
         const CallOutcome outcome = wasNotSent(result.outcome) ? CallOutcome::NotRun : CallOutcome::Unknown;
--- a/src/serving/calls.cpp
+++ b/src/serving/calls.cpp
@@ -9,20 +9,20 @@
 namespace {
 
 // Longer than the change of a pool's owner, so that a crash of an owner delays calls instead of refusing them.
-constexpr Duration poolPatience = seconds(5);
+constexpr Duration maximumPoolWait = seconds(5);
 constexpr Duration retryAfterNoCapacity = seconds(1);
 // A call asks this many pools before it waits for a change.
-constexpr std::uint32_t maximumSearches = 3;
+constexpr std::uint32_t maximumPoolRefusals = 3;
 // A running call whose end was not reported this long after its deadline is forgotten.
-constexpr Duration reportGrace = seconds(5);
+constexpr Duration resultGracePeriod = seconds(5);
 
-struct Resolved
+struct ResolvedRequest
 {
     routing::Resolution resolution;
     std::optional<OrganisationId> organisation;
 };
 
-std::variant<Resolved, RefusalReason> resolve(const ServingState &state, const gateway::ServingRequest &request, TimePoint now)
+std::variant<ResolvedRequest, RefusalReason> resolve(const ServingState &state, const gateway::ServingRequest &request, TimePoint now)
 {
     // Before the first renewal the configuration may be one from before a restart.
     if (!state.index.configuration || state.freshUntil == TimePoint{}) {
@@ -42,10 +42,10 @@
     if (const auto *reason = std::get_if<RefusalReason>(&result)) {
         return *reason == RefusalReason::InvalidKey && !fresh ? RefusalReason::ConfigurationStale : *reason;
     }
-    return Resolved{std::get<routing::Resolution>(result), organisation};
+    return ResolvedRequest{std::get<routing::Resolution>(result), organisation};
 }
 
-Call makeCall(gateway::ServingRequest request, const Resolved &resolved)
+Call makeCall(gateway::ServingRequest request, const ResolvedRequest &resolved)
 {
     Call call;
     call.organisation = resolved.organisation.value_or(OrganisationId{});
@@ -59,12 +59,12 @@
         }
     } else {
         call.repeatable = true;
-        call.served = call.kind;
+        call.servedModel = call.kind;
     }
     if (const control::Adapter *adapter = resolved.resolution.adapter) {
         call.adapter = adapter->id;
         call.adapterName = adapter->name + "@" + adapter->version;
-        call.served += ":" + call.adapterName;
+        call.servedModel += ":" + call.adapterName;
     }
     call.request = std::move(request);
     return call;
@@ -110,8 +110,8 @@
         return;
     }
     const RequestId id = request.id;
-    admission::countRequest(state.retries);
-    Call &call = state.calls[id] = makeCall(std::move(request), std::get<Resolved>(resolved));
+    admission::countRequest(state.retryBudget);
+    Call &call = state.calls[id] = makeCall(std::move(request), std::get<ResolvedRequest>(resolved));
     if (!kindHasPool(state, call)) {
         refuseCall(state, id, RefusalReason::NoCapacity, CallOutcome::NotRun, retryAfterNoCapacity, now, actions);
     } else if (!call.callKey.key.empty()) {
@@ -136,21 +136,21 @@
     actions.push_back(LogDecision{"refuse", id, organisationName(state, call.organisation), call.adapterName, 0, "", toString(reason)});
     actions.push_back(ReplyToCall{call.request.gatewayThread, {id, gateway::ServingRefusal{reason, outcome, retryAfter}}});
     if (call.stage == CallStage::Recording && !call.recorded) {
-        call.answered = true; // the record may still be committed and must then be withdrawn
+        call.abandoned = true; // the record may still be committed and must then be withdrawn
         return;
     }
     if (call.recorded && outcome == CallOutcome::NotRun) {
         abandonRecord(call, actions);
     }
     // What an attempt that may have run has generated is not known, so all of its reservation counts as used (P6).
-    const auto used = outcome == CallOutcome::Unknown ? static_cast<std::uint64_t>(call.reserved) : 0;
+    const auto used = outcome == CallOutcome::Unknown ? static_cast<std::uint64_t>(call.reservedTokens) : 0;
     finishCall(state, id, used, now, actions);
 }
 
 void finishCall(ServingState &state, const RequestId &id, std::uint64_t usedTokens, TimePoint now, Actions &actions)
 {
     const auto found = state.calls.find(id);
-    const double reserved = found->second.reserved;
+    const double reserved = found->second.reservedTokens;
     const OrganisationId organisation = found->second.organisation;
     state.calls.erase(found);
     if (reserved > 0) {
@@ -162,30 +162,30 @@
 void reserveTokens(ServingState &state, Call &call, TimePoint now, Actions &actions)
 {
     if (call.request.kind == gateway::CallKind::PlainService) {
-        acquire(state, call, now, actions);
+        requestGrant(state, call, now, actions);
         return;
     }
     const double cost = static_cast<double>(call.request.promptTokens) + call.request.maximumOutputTokens;
     const RequestId id = call.request.id;
     call.stage = CallStage::AwaitingTokens;
-    call.reserved = cost;
+    call.reservedTokens = cost;
     admission::LeaseActions decided;
     const auto admission = admission::admit(state.quotas, admission::accountOf(call.organisation), {id, cost, now, call.deadline}, now, decided);
     if (admission != admission::Admission::Run) {
-        call.reserved = 0; // taken when the call runs
+        call.reservedTokens = 0; // taken when the call runs
     }
     if (admission == admission::Admission::Run) {
-        acquire(state, call, now, actions);
+        requestGrant(state, call, now, actions);
     }
     carryOut(state, decided, now, actions);
 }
 
-void acquire(ServingState &state, Call &call, TimePoint now, Actions &actions)
+void requestGrant(ServingState &state, Call &call, TimePoint now, Actions &actions)
 {
     call.stage = CallStage::AwaitingGrant;
     call.pool = PoolId{};
     const routing::PoolQuery query{call.kind, call.adapter, state.home};
-    const auto choice = call.searches < maximumSearches ? routing::choosePool(state.summaries, query, state.random) : std::nullopt;
+    const auto choice = call.poolRefusals < maximumPoolRefusals ? routing::choosePool(state.summaries, query, state.random) : std::nullopt;
     if (!choice) {
         return; // tickCalls() tries again
     }
@@ -248,7 +248,7 @@
     reply.grant = grant.grant;
     reply.address = server->address;
     reply.adapter = call.adapterName;
-    reply.served = call.served;
+    reply.served = call.servedModel;
     reply.fencing = grant.fencing;
     reply.deadline = call.deadline;
     reply.repeatable = call.repeatable;
@@ -262,10 +262,10 @@
         return;
     }
     Call &call = found->second;
-    const bool elsewhere =
+    const bool mayTryOtherPool =
         refusal.reason == RefusalReason::NoCapacity || refusal.reason == RefusalReason::Overloaded || refusal.reason == RefusalReason::LoadFailed;
-    if (elsewhere && ++call.searches < maximumSearches) {
-        acquire(state, call, now, actions);
+    if (mayTryOtherPool && ++call.poolRefusals < maximumPoolRefusals) {
+        requestGrant(state, call, now, actions);
     } else if (refusal.reason == RefusalReason::NoCapacity) {
         call.pool = PoolId{}; // waits for a usable pool
     } else {
@@ -273,7 +273,7 @@
     }
 }
 
-void peerLost(ServingState &state, InstanceId peer, TimePoint now, Actions &actions)
+void handlePeerDisconnected(ServingState &state, InstanceId peer, TimePoint now, Actions &actions)
 {
     for (routing::PoolSummary &summary : state.summaries) {
         if (summary.owner == peer) {
@@ -293,7 +293,7 @@
         }
     }
     for (const RequestId &id : waiting) {
-        acquire(state, state.calls.at(id), now, actions);
+        requestGrant(state, state.calls.at(id), now, actions);
     }
     for (auto &[pool, owned] : state.pools) {
         std::vector<RequestId> orphaned;
@@ -312,18 +312,18 @@
 {
     std::vector<RequestId> expired;
     std::vector<RequestId> searching;
-    std::vector<RequestId> recordAgain;
+    std::vector<RequestId> recordRetries;
     for (const auto &[id, call] : state.calls) {
-        const Duration grace = call.stage == CallStage::Running || call.answered ? reportGrace : Duration::zero();
+        const Duration grace = call.stage == CallStage::Running || call.abandoned ? resultGracePeriod : Duration::zero();
         if (now >= call.deadline + grace) {
             expired.push_back(id);
         } else if (call.stage == CallStage::AwaitingGrant && call.pool == PoolId{}) {
             searching.push_back(id);
-        } else if (call.stage == CallStage::Recording && call.recordAgainAt != TimePoint{} && now >= call.recordAgainAt) {
-            recordAgain.push_back(id);
+        } else if (call.stage == CallStage::Recording && call.nextRecordAttempt != TimePoint{} && now >= call.nextRecordAttempt) {
+            recordRetries.push_back(id);
         }
     }
-    for (const RequestId &id : recordAgain) {
+    for (const RequestId &id : recordRetries) {
         recordCall(state, state.calls.at(id), actions);
     }
     for (const RequestId &id : expired) {
@@ -332,7 +332,7 @@
             continue; // ended by the end of another call
         }
         const Call &call = found->second;
-        if (call.answered) {
+        if (call.abandoned) {
             // The result of the BeginCall is lost.
             abandonRecord(call, actions);
             finishCall(state, id, 0, now, actions);
@@ -355,11 +355,11 @@
         if (found == state.calls.end()) {
             continue;
         }
-        if (now >= found->second.request.arrival + poolPatience) {
+        if (now >= found->second.request.arrival + maximumPoolWait) {
             refuseCall(state, id, RefusalReason::NoCapacity, CallOutcome::NotRun, retryAfterNoCapacity, now, actions);
         } else {
-            found->second.searches = 0;
-            acquire(state, found->second, now, actions);
+            found->second.poolRefusals = 0;
+            requestGrant(state, found->second, now, actions);
         }
     }
 }
--- a/src/serving/configurationindex.cpp
+++ b/src/serving/configurationindex.cpp
@@ -46,37 +46,37 @@
 ConfigurationIndex buildConfigurationIndex(std::shared_ptr<const control::Configuration> configuration)
 {
     ConfigurationIndex index;
-    index.organisations = positionsById(configuration->organisations);
-    index.adapters = positionsById(configuration->adapters);
-    index.servers = positionsById(configuration->servers);
-    index.domains = positionsById(configuration->domains);
-    index.adapterNames.reserve(configuration->adapters.size());
+    index.organisationPositions = positionsById(configuration->organisations);
+    index.adapterPositions = positionsById(configuration->adapters);
+    index.serverPositions = positionsById(configuration->servers);
+    index.domainPositions = positionsById(configuration->domains);
+    index.adapterNameHashes.reserve(configuration->adapters.size());
     for (const control::Adapter &adapter : configuration->adapters) {
-        index.adapterNames.emplace_back(nameHash(adapter.baseModel, adapter.name + "@" + adapter.version), adapter.id);
+        index.adapterNameHashes.emplace_back(nameHash(adapter.baseModel, adapter.name + "@" + adapter.version), adapter.id);
     }
-    std::sort(index.adapterNames.begin(), index.adapterNames.end());
+    std::sort(index.adapterNameHashes.begin(), index.adapterNameHashes.end());
     index.configuration = std::move(configuration);
     return index;
 }
 
 const control::Organisation *findOrganisation(const ConfigurationIndex &index, OrganisationId id) noexcept
 {
-    return elementOf(index.configuration->organisations, index.organisations, id);
+    return elementOf(index.configuration->organisations, index.organisationPositions, id);
 }
 
 const control::Adapter *findAdapter(const ConfigurationIndex &index, AdapterId id) noexcept
 {
-    return elementOf(index.configuration->adapters, index.adapters, id);
+    return elementOf(index.configuration->adapters, index.adapterPositions, id);
 }
 
 const control::BackendServer *findServer(const ConfigurationIndex &index, ServerId id) noexcept
 {
-    return elementOf(index.configuration->servers, index.servers, id);
+    return elementOf(index.configuration->servers, index.serverPositions, id);
 }
 
 const control::FailureDomain *findDomain(const ConfigurationIndex &index, DomainId id) noexcept
 {
-    return elementOf(index.configuration->domains, index.domains, id);
+    return elementOf(index.configuration->domains, index.domainPositions, id);
 }
 
 const control::BackendServer *
@@ -92,8 +92,8 @@
 AdapterId findAdapterByName(const ConfigurationIndex &index, std::string_view base, std::string_view name)
 {
     const std::uint64_t hash = nameHash(base, name);
-    auto candidate = std::lower_bound(index.adapterNames.begin(), index.adapterNames.end(), std::pair(hash, AdapterId{}));
-    for (; candidate != index.adapterNames.end() && candidate->first == hash; ++candidate) {
+    auto candidate = std::lower_bound(index.adapterNameHashes.begin(), index.adapterNameHashes.end(), std::pair(hash, AdapterId{}));
+    for (; candidate != index.adapterNameHashes.end() && candidate->first == hash; ++candidate) {
         const control::Adapter *adapter = findAdapter(index, candidate->second);
         if (adapter->baseModel == base && adapter->name + "@" + adapter->version == name) {
             return adapter->id;
--- a/src/serving/internal.h
+++ b/src/serving/internal.h
@@ -7,7 +7,7 @@
 namespace mimosahollow::serving {
 
 /** Asks the best pool for a grant. Waits for a pool when none is usable at present. */
-void acquire(ServingState &state, Call &call, TimePoint now, Actions &actions);
+void requestGrant(ServingState &state, Call &call, TimePoint now, Actions &actions);
 
 /** Ends a call with a refusal; refunds its tokens and withdraws its idempotency record when it did not run. */
 void refuseCall(ServingState &state, const RequestId &id, RefusalReason reason, CallOutcome outcome, Duration retryAfter, TimePoint now, Actions &actions);
--- a/src/serving/pools.cpp
+++ b/src/serving/pools.cpp
@@ -43,7 +43,7 @@
     return "";
 }
 
-LogDecision describe(const ServingState &state, const scheduling::DecisionRecord &record)
+LogDecision toLogDecision(const ServingState &state, const scheduling::DecisionRecord &record)
 {
     const control::Organisation *organisation = findOrganisation(state.index, record.organisation);
     const control::Adapter *adapter = findAdapter(state.index, record.adapter);
@@ -60,7 +60,7 @@
 }
 
 /** Turns the pool's order into one for the server's address; false when the configuration no longer has the server. */
-bool sendOrder(ServingState &state, PoolId pool, const scheduling::Order &order, Actions &actions)
+bool sendOrderToServer(ServingState &state, PoolId pool, const scheduling::Order &order, Actions &actions)
 {
     const control::BackendServer *server = findServer(state.index, order.server);
     const control::Adapter *adapter = findAdapter(state.index, order.adapter);
@@ -74,7 +74,7 @@
     message.adapter = adapter->name + "@" + adapter->version;
     message.fencing = order.fencing;
     message.timeout = order.timeout;
-    state.orders[message.order] = {pool, order.order, order.fencing};
+    state.pendingOrders[message.order] = {pool, order.order, order.fencing};
     actions.push_back(std::move(message));
     return true;
 }
@@ -120,11 +120,11 @@
             actions.push_back(SendToPeer{refusal->entry, PoolMessage{pool, *refusal}});
         }
     } else if (const auto *order = std::get_if<scheduling::Order>(&action)) {
-        if (!ownsPool(state, pool, now) || !sendOrder(state, pool, *order, actions)) {
+        if (!ownsPool(state, pool, now) || !sendOrderToServer(state, pool, *order, actions)) {
             scheduling::orderFinished(state.pools.at(pool).state, order->order, scheduling::OrderOutcome::NotSent, now, followUp);
         }
     } else {
-        actions.push_back(describe(state, std::get<scheduling::DecisionRecord>(action)));
+        actions.push_back(toLogDecision(state, std::get<scheduling::DecisionRecord>(action)));
     }
 }
 
@@ -229,7 +229,7 @@
 
 namespace {
 
-void refuseNotOwner(ServingState &state, InstanceId from, PoolId pool, const RequestId &id, TimePoint now, Actions &actions)
+void refuseAsNonOwner(ServingState &state, InstanceId from, PoolId pool, const RequestId &id, TimePoint now, Actions &actions)
 {
     const scheduling::Refusal refusal{id, from, RefusalReason::NoCapacity, {}};
     if (from == state.self) {
@@ -239,7 +239,7 @@
     }
 }
 
-void takeSummary(ServingState &state, InstanceId from, const scheduling::PoolSummary &content, TimePoint now, Actions &actions)
+void applySummary(ServingState &state, InstanceId from, const scheduling::PoolSummary &content, TimePoint now, Actions &actions)
 {
     routing::PoolSummary *summary = findSummary(state, content.pool);
     if (summary == nullptr || summary->owner != from) {
@@ -299,16 +299,16 @@
             onRefusal(state, call->second.pool, *refusal, now, actions);
         }
     } else if (const auto *summary = std::get_if<scheduling::PoolSummary>(&message.body)) {
-        takeSummary(state, from, *summary, now, actions);
+        applySummary(state, from, *summary, now, actions);
     } else if (const auto *acquire = std::get_if<scheduling::AcquireRequest>(&message.body); acquire != nullptr && !ownsPool(state, message.pool, now)) {
-        refuseNotOwner(state, from, message.pool, acquire->id, now, actions);
+        refuseAsNonOwner(state, from, message.pool, acquire->id, now, actions);
     } else if (state.pools.contains(message.pool)) {
         // Returned grants count after the lease has run out too: it may be renewed.
         handleAsOwner(state, from, message, now, actions);
     }
 }
 
-void sendFailed(ServingState &state, InstanceId peer, const PeerMessage &message, TimePoint now, Actions &actions)
+void handleSendFailure(ServingState &state, InstanceId peer, const PeerMessage &message, TimePoint now, Actions &actions)
 {
     const auto *pool = std::get_if<PoolMessage>(&message);
     if (pool == nullptr) {
@@ -334,18 +334,18 @@
 
 void handle(ServingState &state, const gateway::BackendOrderResult &result, TimePoint now, Actions &actions)
 {
-    const auto found = state.orders.find(result.order);
-    if (found == state.orders.end()) {
+    const auto found = state.pendingOrders.find(result.order);
+    if (found == state.pendingOrders.end()) {
         return;
     }
     const PendingOrder pending = found->second;
-    state.orders.erase(found);
+    state.pendingOrders.erase(found);
     const auto pool = state.pools.find(pending.pool);
     if (pool == state.pools.end() || pool->second.state.fencing != pending.fencing) {
         return;
     }
     scheduling::Actions decided;
-    scheduling::orderFinished(pool->second.state, pending.order, toOrderOutcome(result.outcome), now, decided);
+    scheduling::orderFinished(pool->second.state, pending.poolOrder, toOrderOutcome(result.outcome), now, decided);
     carryOut(state, pending.pool, decided, now, actions);
     requestLoadTokens(state, now, actions);
 }
--- a/src/serving/records.cpp
+++ b/src/serving/records.cpp
@@ -17,13 +17,13 @@
 
 // The answer of a call reaches its caller before it is stored. A resend that follows at once waits for the record instead of
 // being refused as "in progress"; the record takes milliseconds, or an election.
-constexpr Duration inProgressPatience = seconds(2);
-constexpr Duration recordInterval = milliseconds(100);
+constexpr Duration maximumInProgressWait = seconds(2);
+constexpr Duration recordRetryInterval = milliseconds(100);
 
-bool mayAskAgain(const Call &call, TimePoint now)
+bool mayRetryRecord(const Call &call, TimePoint now)
 {
-    const TimePoint end = std::min(call.deadline, call.request.arrival + inProgressPatience);
-    return call.recordAttempts < maximumRecordAttempts && now + recordInterval < end;
+    const TimePoint end = std::min(call.deadline, call.request.arrival + maximumInProgressWait);
+    return call.recordAttempts < maximumRecordAttempts && now + recordRetryInterval < end;
 }
 
 control::Digest requestDigest(const gateway::ServingRequest &request)
@@ -35,7 +35,7 @@
     return digest;
 }
 
-void refuseRecorded(ServingState &state, const CommitResult &result, TimePoint now, Actions &actions)
+void refuseByRecord(ServingState &state, const CommitResult &result, TimePoint now, Actions &actions)
 {
     const auto refuse = [&](RefusalReason reason, CallOutcome outcome) {
         refuseCall(state, result.call, reason, outcome, {}, now, actions);
@@ -64,26 +64,27 @@
 void recordCall(ServingState &state, Call &call, Actions &actions)
 {
     call.stage = CallStage::Recording;
-    call.recordAgainAt = {};
-    call.begin = {call.request.id.process, call.request.id.sequence * commandsPerCall + call.recordAttempts * commandsPerAttempt};
+    call.nextRecordAttempt = {};
+    call.beginCommandId = {call.request.id.process, call.request.id.sequence * commandsPerCall + call.recordAttempts * commandsPerAttempt};
     ++call.recordAttempts;
-    actions.push_back(CommitCommand{call.request.id, call.begin, control::BeginCall{call.callKey, requestDigest(call.request), state.self}});
+    actions.push_back(CommitCommand{call.request.id, call.beginCommandId, control::BeginCall{call.callKey, requestDigest(call.request), state.self}});
 }
 
 void abandonRecord(const Call &call, Actions &actions)
 {
-    actions.push_back(CommitCommand{call.request.id, {call.begin.high, call.begin.low + 2}, control::AbandonCall{call.callKey, call.begin}});
+    actions.push_back(
+        CommitCommand{call.request.id, {call.beginCommandId.high, call.beginCommandId.low + 2}, control::AbandonCall{call.callKey, call.beginCommandId}});
 }
 
 void completeRecord(const Call &call, const gateway::ServingResult &result, Actions &actions)
 {
     control::CompleteCall complete;
     complete.call = call.callKey;
-    complete.beginId = call.begin;
+    complete.beginId = call.beginCommandId;
     complete.status = static_cast<std::uint16_t>(result.status);
     complete.contentType = result.answerContentType;
     complete.responseBody = result.answerBody;
-    actions.push_back(CommitCommand{call.request.id, {call.begin.high, call.begin.low + 1}, std::move(complete)});
+    actions.push_back(CommitCommand{call.request.id, {call.beginCommandId.high, call.beginCommandId.low + 1}, std::move(complete)});
 }
 
 void handle(ServingState &state, const CommitResult &result, TimePoint now, Actions &actions)
@@ -94,7 +95,7 @@
     }
     Call &call = found->second;
     const bool mayExist = result.committed ? result.result.outcome == control::CommandOutcome::RunCall : result.sent;
-    if (call.answered) {
+    if (call.abandoned) {
         if (mayExist) {
             abandonRecord(call, actions);
         }
@@ -119,12 +120,12 @@
         finishCall(state, result.call, 0, now, actions);
         return;
     }
-    if (result.result.outcome == control::CommandOutcome::CallInProgress && mayAskAgain(call, now)) {
+    if (result.result.outcome == control::CommandOutcome::CallInProgress && mayRetryRecord(call, now)) {
         call.stage = CallStage::Recording;
-        call.recordAgainAt = now + recordInterval;
+        call.nextRecordAttempt = now + recordRetryInterval;
         return;
     }
-    refuseRecorded(state, result, now, actions);
+    refuseByRecord(state, result, now, actions);
 }
 
 } // namespace mimosahollow::serving
--- a/src/serving/serving.cpp
+++ b/src/serving/serving.cpp
@@ -18,8 +18,8 @@
 constexpr Duration remoteIntervalPerInstance = milliseconds(10);
 constexpr Duration longestRemoteInterval = seconds(5);
 // Round trip to an instance of another failure domain, and within the same one.
-constexpr Duration remoteDistance = milliseconds(2);
-constexpr Duration localDistance = milliseconds(0);
+constexpr Duration remoteRoundTrip = milliseconds(2);
+constexpr Duration localRoundTrip = milliseconds(0);
 
 scheduling::PoolDeclaration declarationOf(const ServingState &state, const control::Pool &pool)
 {
@@ -63,7 +63,7 @@
         summary.domain = pool.domain;
         summary.owner = pool.owner;
         summary.kind = pool.kind;
-        summary.distance = pool.domain == state.home ? localDistance : remoteDistance;
+        summary.distance = pool.domain == state.home ? localRoundTrip : remoteRoundTrip;
         if (domain == nullptr || domain->outOfService) {
             summary.inService = false; // the owner's next summary says when it is back
         }
@@ -87,12 +87,12 @@
 
 void applyToPools(ServingState &state, TimePoint now, Actions &actions)
 {
-    std::vector<PoolId> gone;
+    std::vector<PoolId> lostPools;
     for (auto &[id, owned] : state.pools) {
         const control::Pool *pool = findPool(state, id);
         if (pool == nullptr || pool->owner != state.self) {
             owned.ownedUntil = now; // assigned to another instance
-            gone.push_back(id);
+            lostPools.push_back(id);
             continue;
         }
         owned.state.settings.maximumLoadsInFlight = loadsInFlightOf(state, *pool);
@@ -101,7 +101,7 @@
         scheduling::setDeclaration(owned.state, declarationOf(state, *pool), now, decided);
         carryOut(state, id, decided, now, actions);
     }
-    for (const PoolId id : gone) {
+    for (const PoolId id : lostPools) {
         // Waiting requests are refused as not run, so that their entry instances ask the new owner.
         scheduling::Actions decided;
         scheduling::setDeclaration(state.pools.at(id).state, {scheduling::ServiceState::Out, {}}, now, decided);
@@ -119,9 +119,9 @@
 void publishSummaries(ServingState &state, TimePoint now, Actions &actions)
 {
     const auto &instances = state.index.configuration->instances;
-    const bool remoteToo = now >= state.nextRemoteSummaries;
+    const bool remoteToo = now >= state.nextRemoteSummariesAt;
     if (remoteToo) {
-        state.nextRemoteSummaries = now + remoteSummaryInterval(instances.size());
+        state.nextRemoteSummariesAt = now + remoteSummaryInterval(instances.size());
     }
     for (auto &[id, owned] : state.pools) {
         if (now >= owned.ownedUntil) {
@@ -214,7 +214,7 @@
     applyToPools(state, now, actions);
 }
 
-void setFreshness(ServingState &state, TimePoint freshUntil) noexcept
+void setFreshUntil(ServingState &state, TimePoint freshUntil) noexcept
 {
     state.freshUntil = freshUntil;
 }
@@ -254,8 +254,8 @@
     scheduling::Actions decided;
     scheduling::setDeclaration(state.pools.at(lease.pool).state, declarationOf(state, *pool), now, decided);
     carryOut(state, lease.pool, decided, now, actions);
-    state.nextSummaries = now; // tells the other instances at once
-    state.nextRemoteSummaries = now;
+    state.nextSummariesAt = now; // tells the other instances at once
+    state.nextRemoteSummariesAt = now;
 }
 
 void handlePeerMessage(ServingState &state, InstanceId from, PeerMessage message, TimePoint now, Actions &actions)
@@ -286,8 +286,8 @@
     }
     requestLoadTokens(state, now, actions);
     refreshOwnSummaries(state, now, actions);
-    if (now >= state.nextSummaries) {
-        state.nextSummaries = now + summaryInterval;
+    if (now >= state.nextSummariesAt) {
+        state.nextSummariesAt = now + summaryInterval;
         publishSummaries(state, now, actions);
     }
 }
--- a/src/serving/tokens.cpp
+++ b/src/serving/tokens.cpp
@@ -9,20 +9,20 @@
 namespace {
 
 // A pool asks again on its next tick when a token was not obtained in this time.
-constexpr Duration loadTokenPatience = seconds(10);
+constexpr Duration loadTokenTimeout = seconds(10);
 
 /** Continues what waited for tokens: a call, or a pool that wants to load an adapter. */
-void continueWith(ServingState &state, const RequestId &id, TimePoint now, Actions &actions)
+void resumeWaiting(ServingState &state, const RequestId &id, TimePoint now, Actions &actions)
 {
     const auto found = state.calls.find(id);
     if (found != state.calls.end()) {
         Call &call = found->second;
-        call.reserved = static_cast<double>(call.request.promptTokens) + call.request.maximumOutputTokens;
-        acquire(state, call, now, actions);
+        call.reservedTokens = static_cast<double>(call.request.promptTokens) + call.request.maximumOutputTokens;
+        requestGrant(state, call, now, actions);
         return;
     }
     for (auto &[pool, owned] : state.pools) {
-        if (owned.awaitsLoadToken && owned.loadTokenId == id) {
+        if (owned.awaitsLoadToken && owned.loadTokenRequestId == id) {
             owned.awaitsLoadToken = false;
             scheduling::Actions decided;
             scheduling::grantLoadTokens(owned.state, admission::loadCost, now, decided);
@@ -32,14 +32,14 @@
     }
 }
 
-void refuseWaiting(ServingState &state, const admission::RefusedCall &refused, TimePoint now, Actions &actions)
+void refuseWaitingForTokens(ServingState &state, const admission::RefusedCall &refused, TimePoint now, Actions &actions)
 {
     if (state.calls.contains(refused.id)) {
         refuseCall(state, refused.id, refused.reason, CallOutcome::NotRun, refused.retryAfter, now, actions);
         return;
     }
     for (auto &[pool, owned] : state.pools) {
-        if (owned.loadTokenId == refused.id) {
+        if (owned.loadTokenRequestId == refused.id) {
             owned.awaitsLoadToken = false;
         }
     }
@@ -80,10 +80,10 @@
 void carryOut(ServingState &state, admission::LeaseActions &decided, TimePoint now, Actions &actions)
 {
     for (const RequestId &id : decided.run) {
-        continueWith(state, id, now, actions);
+        resumeWaiting(state, id, now, actions);
     }
     for (const admission::RefusedCall &refused : decided.refused) {
-        refuseWaiting(state, refused, now, actions);
+        refuseWaitingForTokens(state, refused, now, actions);
     }
     for (admission::OutgoingTokenMessage &outgoing : decided.messages) {
         std::visit(
@@ -135,13 +135,13 @@
     for (auto &[pool, owned] : state.pools) {
         while (owned.state.loadTokenDemand > 0 && !owned.awaitsLoadToken && ownsPool(state, pool, now)) {
             owned.awaitsLoadToken = true;
-            owned.loadTokenId = {0, state.nextToken++};
+            owned.loadTokenRequestId = {0, state.nextLoadTokenSequence++};
             admission::LeaseActions decided;
-            const admission::WaitingCall waiting{owned.loadTokenId, admission::loadCost, now, now + loadTokenPatience};
+            const admission::WaitingCall waiting{owned.loadTokenRequestId, admission::loadCost, now, now + loadTokenTimeout};
             const auto admission = admission::admit(state.quotas, admission::loadAccount, waiting, now, decided);
             const std::uint32_t wanted = owned.state.loadTokenDemand;
             if (admission == admission::Admission::Run) {
-                continueWith(state, owned.loadTokenId, now, actions);
+                resumeWaiting(state, owned.loadTokenRequestId, now, actions);
             }
             carryOut(state, decided, now, actions);
             if (admission == admission::Admission::Refused || owned.state.loadTokenDemand >= wanted) {
--- a/tests/serving/fleet.h
+++ b/tests/serving/fleet.h
@@ -62,14 +62,14 @@
     void configure()
     {
         for (std::size_t i = 0; i < states.size(); ++i) {
-            act(i, [&](Actions &actions) {
+            dispatch(i, [&](Actions &actions) {
                 const auto shared = std::make_shared<const control::Configuration>(configuration);
                 setConfiguration(states[i], shared, InstanceId(i + 1), DomainId(i < 2 ? 1 : 2), now, actions);
             });
         }
     }
 
-    RequestId model(std::size_t entry, const std::string &target, std::uint8_t key, const std::string &expected = "", Duration deadline = seconds(20))
+    RequestId callModel(std::size_t entry, const std::string &target, std::uint8_t key, const std::string &expected = "", Duration deadline = seconds(20))
     {
         gateway::ServingRequest request;
         request.target = target;
@@ -79,8 +79,8 @@
         return submit(entry, std::move(request), expected, deadline);
     }
 
-    RequestId
-    plain(std::size_t entry, const std::string &path, std::optional<std::uint8_t> key, const std::string &idempotencyKey = "", const std::string &expected = "")
+    RequestId callPlainService(
+        std::size_t entry, const std::string &path, std::optional<std::uint8_t> key, const std::string &idempotencyKey = "", const std::string &expected = "")
     {
         gateway::ServingRequest request;
         request.kind = gateway::CallKind::PlainService;
@@ -120,24 +120,24 @@
             states[call.entry].calls.at(id).repeatable = true;
         }
         call.grant.reset();
-        call.finals += result.awaitsReply ? 0 : 1;
-        act(call.entry, [&](Actions &actions) {
+        call.finalReplies += result.awaitsReply ? 0 : 1;
+        dispatch(call.entry, [&](Actions &actions) {
             handle(states[call.entry], result, now, actions);
         });
     }
 
-    void leave(const RequestId &id)
+    void disconnectCaller(const RequestId &id)
     {
         TrackedCall &call = calls.at(id);
         if (call.grant) {
             finish(id, Outcome::CallerLeft);
             return;
         }
-        call.finals += call.finals == 0 ? 1 : 0;
+        call.finalReplies += call.finalReplies == 0 ? 1 : 0;
         gateway::ServingResult result;
         result.id = id;
         result.outcome = Outcome::CallerLeft;
-        act(call.entry, [&](Actions &actions) {
+        dispatch(call.entry, [&](Actions &actions) {
             handle(states[call.entry], result, now, actions);
         });
     }
@@ -147,8 +147,8 @@
     {
         down.insert(instance);
         for (std::size_t i = 0; i < states.size(); ++i) {
-            act(i, [&](Actions &actions) {
-                peerLost(states[i], InstanceId(instance + 1), now, actions);
+            dispatch(i, [&](Actions &actions) {
+                handlePeerDisconnected(states[i], InstanceId(instance + 1), now, actions);
             });
         }
     }
@@ -156,10 +156,10 @@
     /** A link breaks with all messages under way, and is there again at once. */
     void breakLink(std::size_t first, std::size_t second)
     {
-        ++breaks[std::minmax(first, second)];
+        ++linkBreaks[std::minmax(first, second)];
         for (const auto &[at, peer] : {std::pair(first, second), std::pair(second, first)}) {
-            act(at, [&, at = at, peer = peer](Actions &actions) {
-                peerLost(states[at], InstanceId(peer + 1), now, actions);
+            dispatch(at, [&, at = at, peer = peer](Actions &actions) {
+                handlePeerDisconnected(states[at], InstanceId(peer + 1), now, actions);
             });
         }
     }
@@ -193,7 +193,7 @@
             renew();
         }
         for (std::size_t i = 0; i < states.size(); ++i) {
-            act(i, [&](Actions &actions) {
+            dispatch(i, [&](Actions &actions) {
                 tick(states[i], now, actions);
             });
         }
@@ -223,7 +223,7 @@
     void checkEnd()
     {
         for (const auto &[id, call] : calls) {
-            check(call.finals == 1, call.finals == 0 ? "no final reply" : "more than one final reply");
+            check(call.finalReplies == 1, call.finalReplies == 0 ? "no final reply" : "more than one final reply");
             check(call.repeatable || call.runs <= 1, "P11: a call that may not repeat ran twice");
         }
         for (const auto &[key, runs] : runsByKey) {
@@ -241,7 +241,7 @@
     }
 
     std::deque<std::function<void()>> queue; /**< Messages and results under way. */
-    std::map<std::pair<std::size_t, std::size_t>, unsigned> breaks; /**< Of links. */
+    std::map<std::pair<std::size_t, std::size_t>, unsigned> linkBreaks; /**< Of links. */
     std::vector<std::function<void()>> held; /**< By holdCommits and holdOrders; in their order. */
 
 private:
@@ -255,14 +255,14 @@
         call.entry = entry;
         call.expectedAdapter = expected;
         call.repeatable = request.kind == gateway::CallKind::Model || request.target.starts_with("/open/");
-        act(entry, [&](Actions &actions) {
+        dispatch(entry, [&](Actions &actions) {
             handle(states[entry], request, now, actions);
         });
         return request.id;
     }
 
     template<typename Event>
-    void act(std::size_t instance, const Event &event)
+    void dispatch(std::size_t instance, const Event &event)
     {
         if (down.contains(instance)) {
             return;
@@ -272,21 +272,21 @@
         for (Action &action : actions) {
             std::visit(
                 [&](auto &content) {
-                    carry(instance, content);
+                    execute(instance, content);
                 },
                 action);
         }
     }
 
-    void carry(std::size_t /*instance*/, const LogDecision & /*line*/)
+    void execute(std::size_t /*instance*/, const LogDecision & /*line*/)
     {
     }
 
-    void carry(std::size_t /*instance*/, const ReplyToCall &reply)
+    void execute(std::size_t /*instance*/, const ReplyToCall &reply)
     {
         TrackedCall &call = calls.at(reply.reply.id);
         if (const auto *grant = std::get_if<gateway::ServingGrant>(&reply.reply.content)) {
-            check(call.finals == 0 && !call.grant, "a grant for a call that has ended or runs");
+            check(call.finalReplies == 0 && !call.grant, "a grant for a call that has ended or runs");
             check(grant->adapter == call.expectedAdapter, "P1 or P3: granted another adapter, or without permission");
             call.grant = *grant;
             call.servers.push_back(grant->address);
@@ -297,7 +297,7 @@
             }
             return;
         }
-        ++call.finals;
+        ++call.finalReplies;
         if (const auto *refusal = std::get_if<gateway::ServingRefusal>(&reply.reply.content)) {
             call.refusal = *refusal;
             check(refusal->outcome != CallOutcome::NotRun || call.runs == 0, "P10: refused as not run after it ran");
@@ -306,19 +306,19 @@
         }
     }
 
-    void carry(std::size_t instance, const SendToPeer &send)
+    void execute(std::size_t instance, const SendToPeer &send)
     {
         const std::size_t to = number(send.to) - 1;
         const std::pair<std::size_t, std::size_t> link = std::minmax(instance, to);
-        queue.emplace_back([this, instance, send, to, link, earlier = breaks[link]] {
-            if (breaks[link] != earlier) {
+        queue.emplace_back([this, instance, send, to, link, breaksAtSend = linkBreaks[link]] {
+            if (linkBreaks[link] != breaksAtSend) {
                 return;
             }
             const bool lost = down.contains(to);
             const std::size_t at = lost ? instance : to;
-            act(at, [&](Actions &actions) {
+            dispatch(at, [&](Actions &actions) {
                 if (lost) {
-                    sendFailed(states[instance], send.to, send.message, now, actions);
+                    handleSendFailure(states[instance], send.to, send.message, now, actions);
                 } else {
                     handlePeerMessage(states[to], InstanceId(instance + 1), send.message, now, actions);
                 }
@@ -326,7 +326,7 @@
         });
     }
 
-    void carry(std::size_t instance, const gateway::BackendOrder &order)
+    void execute(std::size_t instance, const gateway::BackendOrder &order)
     {
         const auto carryOut = [this, instance, order] {
             if (order.kind == gateway::OrderKind::Load) {
@@ -334,7 +334,7 @@
             } else {
                 resident[order.address].erase(order.adapter);
             }
-            act(instance, [&](Actions &actions) {
+            dispatch(instance, [&](Actions &actions) {
                 handle(states[instance], gateway::BackendOrderResult{order.order, gateway::OrderOutcome::Done}, now, actions);
             });
         };
@@ -345,7 +345,7 @@
         }
     }
 
-    void carry(std::size_t instance, const CommitCommand &command)
+    void execute(std::size_t instance, const CommitCommand &command)
     {
         const auto commit = [this, instance, command] {
             CommitResult result{command.call, true, true, {}};
@@ -354,7 +354,7 @@
             if (loseCommitAnswers) {
                 result = {command.call, false, true, {}};
             }
-            act(instance, [&](Actions &actions) {
+            dispatch(instance, [&](Actions &actions) {
                 handle(states[instance], result, now, actions);
             });
         };
@@ -369,9 +369,9 @@
     {
         for (std::size_t i = 0; i < states.size(); ++i) {
             if (!stale.contains(i)) {
-                setFreshness(states[i], now + seconds(10));
+                setFreshUntil(states[i], now + seconds(10));
             }
-            act(i, [&](Actions &actions) {
+            dispatch(i, [&](Actions &actions) {
                 for (const control::Pool &pool : configuration.pools) {
                     if (pool.owner == InstanceId(i + 1) && !unleased.contains(i)) {
                         setPoolLease(states[i], {pool.id, pool.fencing, now + seconds(3), now}, now, actions);
--- a/tests/serving/owners.cpp
+++ b/tests/serving/owners.cpp
@@ -12,7 +12,7 @@
     Fleet fleet;
     fleet.start();
     const std::vector<RequestId> running = fillRegistry(fleet);
-    const RequestId waiting = fleet.plain(0, "/open/x", std::nullopt);
+    const RequestId waiting = fleet.callPlainService(0, "/open/x", std::nullopt);
     fleet.advance(milliseconds(100));
     REQUIRE_FALSE(fleet.running(waiting));
 
@@ -37,12 +37,12 @@
         for (routing::PoolSummary &summary : fleet.states[1].summaries) {
             summary.reachable = summary.domain == DomainId{1}; // until the next summary, so that the call asks the local pool
         }
-        const RequestId local = fleet.plain(1, "/open/x", std::nullopt);
+        const RequestId local = fleet.callPlainService(1, "/open/x", std::nullopt);
         REQUIRE(fleet.states[1].calls.at(local).pool == PoolId{2});
         fleet.unleased.insert(1);
         fleet.advance(seconds(4));
         REQUIRE(fleet.states[1].calls.at(local).pool != PoolId{2});
-        fleet.leave(local);
+        fleet.disconnectCaller(local);
         for (const RequestId &id : running) {
             if (fleet.calls[id].servers.back() == "127.0.0.1:2") {
                 fleet.finish(id, Outcome::Completed);
@@ -53,14 +53,14 @@
         REQUIRE(fleet.states[0].calls.at(waiting).pool != PoolId{2});
     }
     for (const RequestId &id : running) {
-        REQUIRE((fleet.running(id) || fleet.calls[id].finals == 1));
+        REQUIRE((fleet.running(id) || fleet.calls[id].finalReplies == 1));
         fleet.finish(id, Outcome::Completed);
     }
     fleet.advance(seconds(1));
     REQUIRE(fleet.running(waiting));
     fleet.finish(waiting, Outcome::Completed);
     fleet.advance(milliseconds(100));
-    requireClean(fleet);
+    requireNoViolations(fleet);
 }
 
 // Guards against a server that gets work which its present owner does not know of, and against engines believed to hold an
@@ -71,7 +71,7 @@
     fleet.start();
     SECTION("a grant of the earlier owner that arrives after the report to the new one is not used")
     {
-        const RequestId id = fleet.plain(0, "/open/x", std::nullopt);
+        const RequestId id = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.deliver(1);
         REQUIRE(fleet.queue.size() == 1);
         const auto grant = fleet.queue.front();
@@ -91,15 +91,15 @@
         fleet.holdOrders = true;
         fleet.configuration.servers[2].outOfService = true; // the call cannot go to the other failure domain
         fleet.configure();
-        const RequestId id = fleet.model(0, "base:greeting@2", 1, "greeting@2");
+        const RequestId id = fleet.callModel(0, "base:greeting@2", 1, "greeting@2");
         const auto stepUntilOrders = [&](std::size_t count) {
-            for (int i = 0; i < 200 && owner.orders.size() < count; ++i) {
+            for (int i = 0; i < 200 && owner.pendingOrders.size() < count; ++i) {
                 fleet.advance(milliseconds(20));
             }
-            REQUIRE(owner.orders.size() == count);
+            REQUIRE(owner.pendingOrders.size() == count);
         };
         stepUntilOrders(1);
-        const std::uint64_t earlier = owner.orders.begin()->first;
+        const std::uint64_t earlier = owner.pendingOrders.begin()->first;
         fleet.assign(1, 1);
         stepUntilOrders(2);
         Actions actions;
@@ -118,7 +118,7 @@
         without->servers.erase(without->servers.begin() + 1);
         Actions actions;
         setConfiguration(fleet.states[0], without, InstanceId{1}, DomainId{1}, fleet.now, actions);
-        const RequestId id = fleet.plain(0, "/open/x", std::nullopt);
+        const RequestId id = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.advance(milliseconds(300));
         fleet.configure();
         fleet.advance(seconds(1));
@@ -126,5 +126,5 @@
         fleet.finish(id, Outcome::Completed);
     }
     fleet.advance(milliseconds(500));
-    requireClean(fleet);
+    requireNoViolations(fleet);
 }
--- a/tests/serving/randomrun.cpp
+++ b/tests/serving/randomrun.cpp
@@ -28,32 +28,32 @@
     const std::size_t entry = random.below(4);
     switch (random.below(6)) {
     case 0:
-        fleet.model(entry, "base:greeting@2", 1, "greeting@2");
+        fleet.callModel(entry, "base:greeting@2", 1, "greeting@2");
         break;
     case 1:
-        fleet.model(entry, "base:other", 2, "other@1", milliseconds(200 + random.below(5000)));
+        fleet.callModel(entry, "base:other", 2, "other@1", milliseconds(200 + random.below(5000)));
         break;
     case 2:
-        fleet.model(entry, "base:other", 1, Fleet::forbidden);
+        fleet.callModel(entry, "base:other", 1, Fleet::forbidden);
         break;
     case 3:
-        fleet.plain(entry, "/registry/x", 1, "key" + std::to_string(random.below(400)));
+        fleet.callPlainService(entry, "/registry/x", 1, "key" + std::to_string(random.below(400)));
         break;
     case 4:
-        fleet.plain(entry, "/registry/x", 1);
+        fleet.callPlainService(entry, "/registry/x", 1);
         break;
     default:
-        fleet.plain(entry, "/open/x", std::nullopt);
+        fleet.callPlainService(entry, "/open/x", std::nullopt);
         break;
     }
 }
 
-void endSomeCall(Fleet &fleet, Random &random)
+void endRandomCall(Fleet &fleet, Random &random)
 {
     const bool waiting = random.below(4) == 0;
     std::vector<RequestId> open;
     for (const auto &[id, call] : fleet.calls) {
-        if (call.grant || (waiting && call.finals == 0)) {
+        if (call.grant || (waiting && call.finalReplies == 0)) {
             open.push_back(id);
         }
     }
@@ -62,7 +62,7 @@
     }
     const RequestId id = open[random.below(open.size())];
     if (random.below(12) == 0) {
-        fleet.leave(id);
+        fleet.disconnectCaller(id);
     } else {
         constexpr std::array outcomes{
             Outcome::Completed, Outcome::Completed, Outcome::Completed, Outcome::FailedBeforeAnswer, Outcome::ConnectionRefused, Outcome::FailedDuringAnswer};
@@ -70,7 +70,7 @@
     }
 }
 
-void disturb(Fleet &fleet, Random &random)
+void injectFault(Fleet &fleet, Random &random)
 {
     switch (random.below(6)) {
     case 0:
@@ -113,13 +113,13 @@
         if (kind < 30) {
             startCall(fleet, random);
         } else if (kind < 65) {
-            endSomeCall(fleet, random);
+            endRandomCall(fleet, random);
         } else if (kind < 80) {
             fleet.step();
         } else if (kind < 98) {
             fleet.deliver(random.below(40));
         } else {
-            disturb(fleet, random);
+            injectFault(fleet, random);
         }
     }
     for (control::FailureDomain &domain : fleet.configuration.domains) {
@@ -134,7 +134,7 @@
     fleet.advance(settleTime);
     // No place, token or route is lost for good.
     for (std::size_t entry = 0; entry < 4; ++entry) {
-        const std::array ids{fleet.model(entry, "base:greeting", 1, "greeting@1"), fleet.plain(entry, "/registry/x", 1)};
+        const std::array ids{fleet.callModel(entry, "base:greeting", 1, "greeting@1"), fleet.callPlainService(entry, "/registry/x", 1)};
         fleet.advance(seconds(3));
         for (const RequestId &id : ids) {
             CHECK(fleet.running(id));
@@ -145,7 +145,7 @@
     fleet.checkEnd();
 }
 
-bool names(const std::vector<std::string> &violations, const std::string &text)
+bool reports(const std::vector<std::string> &violations, const std::string &text)
 {
     return std::any_of(violations.begin(), violations.end(), [&](const std::string &violation) {
         return violation.starts_with(text);
@@ -184,5 +184,5 @@
         fleet.repeatsEverything = true;
     }
     run(fleet);
-    REQUIRE(names(fleet.violations, "P11"));
+    REQUIRE(reports(fleet.violations, "P11"));
 }
--- a/tests/serving/rules.cpp
+++ b/tests/serving/rules.cpp
@@ -27,14 +27,14 @@
 {
     Fleet fleet;
     fleet.configure();
-    const RequestId early = fleet.plain(0, "/open/x", std::nullopt);
+    const RequestId early = fleet.callPlainService(0, "/open/x", std::nullopt);
     REQUIRE(fleet.refused(early) == RefusalReason::ConfigurationStale);
     fleet.start();
 
     SECTION("P1: the named version, or the default one, on an engine that has it")
     {
-        const RequestId second = fleet.model(1, "base:greeting@2", 1, "greeting@2");
-        const RequestId first = fleet.model(3, "base:greeting", 1, "greeting@1");
+        const RequestId second = fleet.callModel(1, "base:greeting@2", 1, "greeting@2");
+        const RequestId first = fleet.callModel(3, "base:greeting", 1, "greeting@1");
         fleet.advance(seconds(2));
         REQUIRE(fleet.running(second));
         REQUIRE(fleet.calls[first].grant->served == "base:greeting@1");
@@ -43,30 +43,30 @@
     }
     SECTION("P3: an unknown key, an adapter or a route of another organisation")
     {
-        REQUIRE(fleet.refused(fleet.model(0, "base:greeting", 9, Fleet::forbidden)) == RefusalReason::InvalidKey);
-        REQUIRE(fleet.refused(fleet.model(0, "base:greeting", 2, Fleet::forbidden)).has_value());
-        REQUIRE(fleet.refused(fleet.plain(0, "/registry/x", 2, "", Fleet::forbidden)).has_value());
-        REQUIRE(fleet.refused(fleet.plain(0, "/registry/x", std::nullopt, "", Fleet::forbidden)) == RefusalReason::InvalidKey);
+        REQUIRE(fleet.refused(fleet.callModel(0, "base:greeting", 9, Fleet::forbidden)) == RefusalReason::InvalidKey);
+        REQUIRE(fleet.refused(fleet.callModel(0, "base:greeting", 2, Fleet::forbidden)).has_value());
+        REQUIRE(fleet.refused(fleet.callPlainService(0, "/registry/x", 2, "", Fleet::forbidden)).has_value());
+        REQUIRE(fleet.refused(fleet.callPlainService(0, "/registry/x", std::nullopt, "", Fleet::forbidden)) == RefusalReason::InvalidKey);
     }
     SECTION("P5: a withdrawn key is refused from the configuration on")
     {
         fleet.configuration.keys.erase(fleet.configuration.keys.begin());
         fleet.configure();
-        REQUIRE(fleet.refused(fleet.model(0, "base:greeting", 1, Fleet::forbidden)) == RefusalReason::InvalidKey);
+        REQUIRE(fleet.refused(fleet.callModel(0, "base:greeting", 1, Fleet::forbidden)) == RefusalReason::InvalidKey);
     }
     SECTION("a stale configuration serves open routes only")
     {
         fleet.stale.insert(0);
         fleet.advance(seconds(11));
-        REQUIRE(fleet.refused(fleet.model(0, "base:greeting", 1, Fleet::forbidden)) == RefusalReason::ConfigurationStale);
-        REQUIRE(fleet.refused(fleet.plain(0, "/registry/x", 1, "", Fleet::forbidden)) == RefusalReason::ConfigurationStale);
-        const RequestId open = fleet.plain(0, "/open/x", std::nullopt);
+        REQUIRE(fleet.refused(fleet.callModel(0, "base:greeting", 1, Fleet::forbidden)) == RefusalReason::ConfigurationStale);
+        REQUIRE(fleet.refused(fleet.callPlainService(0, "/registry/x", 1, "", Fleet::forbidden)) == RefusalReason::ConfigurationStale);
+        const RequestId open = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.advance(milliseconds(100));
         REQUIRE(fleet.running(open));
         fleet.finish(open, Outcome::Completed);
     }
     fleet.advance(milliseconds(100));
-    requireClean(fleet);
+    requireNoViolations(fleet);
 }
 
 // Guards against new work on servers that were taken out, and against calls that are lost with them.
@@ -75,7 +75,7 @@
     Fleet fleet;
     fleet.start();
     const std::vector<RequestId> running = fillRegistry(fleet);
-    const RequestId waiting = fleet.plain(0, "/open/x", std::nullopt);
+    const RequestId waiting = fleet.callPlainService(0, "/open/x", std::nullopt);
     fleet.advance(milliseconds(100));
     REQUIRE_FALSE(fleet.running(waiting));
 
@@ -96,7 +96,7 @@
     REQUIRE(fleet.calls[waiting].servers == std::vector<std::string>{"127.0.0.1:4"});
     fleet.finish(waiting, Outcome::Completed);
     fleet.advance(milliseconds(100));
-    requireClean(fleet);
+    requireNoViolations(fleet);
 }
 
 // Guards against a shutdown that cuts calls or keeps the tokens of its organisations.
@@ -104,13 +104,13 @@
 {
     Fleet fleet;
     fleet.start();
-    const RequestId id = fleet.model(0, "base:greeting", 1, "greeting@1");
+    const RequestId id = fleet.callModel(0, "base:greeting", 1, "greeting@1");
     fleet.advance(seconds(2));
     REQUIRE(fleet.running(id));
     Actions actions;
     beginDrain(fleet.states[0], fleet.now, actions);
     REQUIRE(actions.empty());
-    REQUIRE(fleet.refused(fleet.model(0, "base:greeting", 1, "greeting@1")) == RefusalReason::ShuttingDown);
+    REQUIRE(fleet.refused(fleet.callModel(0, "base:greeting", 1, "greeting@1")) == RefusalReason::ShuttingDown);
     REQUIRE_FALSE(fleet.states[0].tokensReturned);
 
     SECTION("the call ends, and then the tokens are returned")
@@ -130,7 +130,7 @@
     fleet.start();
     SECTION("P11: a call that may not repeat is not sent again after a byte of it was sent")
     {
-        const RequestId id = fleet.plain(0, "/registry/x", 1);
+        const RequestId id = fleet.callPlainService(0, "/registry/x", 1);
         fleet.advance(milliseconds(100));
         fleet.finish(id, Outcome::FailedBeforeAnswer);
         fleet.advance(seconds(1));
@@ -138,7 +138,7 @@
     }
     SECTION("it is sent again when the connection was refused")
     {
-        const RequestId id = fleet.plain(0, "/registry/x", 1);
+        const RequestId id = fleet.callPlainService(0, "/registry/x", 1);
         fleet.advance(milliseconds(100));
         fleet.finish(id, Outcome::ConnectionRefused);
         fleet.advance(seconds(2));
@@ -147,7 +147,7 @@
     }
     SECTION("P10: a call that may have run is not refused as not run when no retry finds a server")
     {
-        const RequestId id = fleet.plain(0, "/open/x", std::nullopt);
+        const RequestId id = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.advance(milliseconds(100));
         fleet.configuration.domains[0].outOfService = true;
         fleet.configuration.domains[1].outOfService = true;
@@ -158,7 +158,7 @@
     }
     SECTION("P6: a call that may have run gets no tokens back when it is refused")
     {
-        const RequestId id = fleet.model(0, "base:greeting", 1, "greeting@1");
+        const RequestId id = fleet.callModel(0, "base:greeting", 1, "greeting@1");
         fleet.advance(seconds(2));
         REQUIRE(fleet.running(id));
         const double before = netSpent(fleet.states[0], OrganisationId{1});
@@ -175,20 +175,20 @@
     }
     SECTION("retries stay within the budget, the attempts and the deadline")
     {
-        fleet.states[0].retries.balance = admission::retryReserve;
-        const RequestId hopeless = fleet.plain(0, "/open/x", std::nullopt);
-        while (fleet.calls[hopeless].finals == 0) {
+        fleet.states[0].retryBudget.balance = admission::retryReserve;
+        const RequestId hopeless = fleet.callPlainService(0, "/open/x", std::nullopt);
+        while (fleet.calls[hopeless].finalReplies == 0) {
             fleet.advance(milliseconds(100));
             fleet.finish(hopeless, Outcome::FailedBeforeAnswer);
         }
         REQUIRE(fleet.calls[hopeless].runs == 3);
 
-        fleet.states[0].retries = {};
+        fleet.states[0].retryBudget = {};
         unsigned attempts = 0;
         const unsigned calls = 30;
         for (unsigned i = 0; i < calls; ++i) {
-            const RequestId id = fleet.plain(0, "/open/x", std::nullopt);
-            while (fleet.calls[id].finals == 0) {
+            const RequestId id = fleet.callPlainService(0, "/open/x", std::nullopt);
+            while (fleet.calls[id].finalReplies == 0) {
                 fleet.advance(milliseconds(100));
                 fleet.finish(id, Outcome::FailedBeforeAnswer);
             }
@@ -197,7 +197,7 @@
         }
         REQUIRE(attempts <= calls + calls / 10 + 1); // 10 % and the one that a new budget holds
         fleet.advance(seconds(10));
-        const RequestId late = fleet.plain(0, "/open/x", std::nullopt);
+        const RequestId late = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.advance(milliseconds(100));
         fleet.now += seconds(20);
         fleet.finish(late, Outcome::FailedBeforeAnswer);
@@ -205,7 +205,7 @@
     }
     SECTION("tokens that were not used return")
     {
-        const RequestId id = fleet.model(0, "base:greeting", 1, "greeting@1");
+        const RequestId id = fleet.callModel(0, "base:greeting", 1, "greeting@1");
         fleet.advance(seconds(2));
         REQUIRE(fleet.running(id));
         const double before = netSpent(fleet.states[0], OrganisationId{1});
@@ -213,7 +213,7 @@
         REQUIRE(netSpent(fleet.states[0], OrganisationId{1}) == Approx(before - 5));
     }
     fleet.advance(milliseconds(100));
-    requireClean(fleet);
+    requireNoViolations(fleet);
 }
 
 // A resend waits up to 2 s for the record of the first call before it is refused as in progress.
@@ -226,24 +226,24 @@
     fleet.start();
     SECTION("a resend through another instance gets the stored answer")
     {
-        const RequestId first = fleet.plain(0, "/registry/x", 1, "key");
+        const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
-        const RequestId during = fleet.plain(3, "/registry/x", 1, "key");
+        const RequestId during = fleet.callPlainService(3, "/registry/x", 1, "key");
         fleet.advance(resendWait);
         REQUIRE(fleet.refused(during) == RefusalReason::InProgress);
         fleet.finish(first, Outcome::Completed);
         fleet.advance(milliseconds(100));
-        const RequestId after = fleet.plain(2, "/registry/x", 1, "key");
-        const RequestId other = fleet.plain(2, "/registry/y", 1, "key");
+        const RequestId after = fleet.callPlainService(2, "/registry/x", 1, "key");
+        const RequestId other = fleet.callPlainService(2, "/registry/y", 1, "key");
         fleet.advance(milliseconds(100));
         REQUIRE(fleet.calls[after].stored->body == "answer");
         REQUIRE(fleet.refused(other) == RefusalReason::IdempotencyConflict);
     }
     SECTION("a resend that comes before the answer is stored waits for it")
     {
-        const RequestId first = fleet.plain(0, "/registry/x", 1, "key");
+        const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
-        const RequestId again = fleet.plain(3, "/registry/x", 1, "key");
+        const RequestId again = fleet.callPlainService(3, "/registry/x", 1, "key");
         fleet.advance(milliseconds(500));
         fleet.finish(first, Outcome::Completed);
         fleet.advance(milliseconds(500));
@@ -252,32 +252,32 @@
     SECTION("an answer that is too large to be stored is not replaced by an empty one")
     {
         fleet.largeAnswers = true;
-        const RequestId first = fleet.plain(0, "/registry/x", 1, "key");
+        const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
         fleet.finish(first, Outcome::Completed);
         fleet.advance(milliseconds(100));
-        const RequestId again = fleet.plain(2, "/registry/x", 1, "key");
+        const RequestId again = fleet.callPlainService(2, "/registry/x", 1, "key");
         fleet.advance(resendWait);
         REQUIRE(fleet.calls[again].refusal.has_value());
         REQUIRE(fleet.calls[again].refusal->outcome == CallOutcome::Unknown);
     }
     SECTION("after a lost reply of the server a resend does not run")
     {
-        const RequestId first = fleet.plain(0, "/registry/x", 1, "key");
+        const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
         fleet.finish(first, Outcome::FailedBeforeAnswer);
-        const RequestId again = fleet.plain(2, "/registry/x", 1, "key");
+        const RequestId again = fleet.callPlainService(2, "/registry/x", 1, "key");
         fleet.advance(resendWait);
         REQUIRE(fleet.calls[again].refusal->outcome == CallOutcome::Unknown);
     }
     SECTION("a commit whose answer is lost does not run, and a resend does")
     {
         fleet.loseCommitAnswers = true;
-        const RequestId first = fleet.plain(0, "/registry/x", 1, "key");
+        const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
         REQUIRE(fleet.refused(first) == RefusalReason::NoQuorum);
         fleet.loseCommitAnswers = false;
-        const RequestId again = fleet.plain(2, "/registry/x", 1, "key");
+        const RequestId again = fleet.callPlainService(2, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
         REQUIRE(fleet.running(again));
         fleet.finish(again, Outcome::Completed);
@@ -285,10 +285,10 @@
     SECTION("a caller that leaves, or a deadline that ends, during the commit does not block a resend")
     {
         fleet.holdCommits = true;
-        const RequestId first = fleet.plain(0, "/registry/x", 1, "key");
+        const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         const bool leaves = GENERATE(true, false);
         if (leaves) {
-            fleet.leave(first);
+            fleet.disconnectCaller(first);
         }
         fleet.advance(seconds(leaves ? 1 : 21));
         fleet.holdCommits = false;
@@ -296,13 +296,13 @@
             commit();
         }
         fleet.advance(milliseconds(100));
-        const RequestId again = fleet.plain(2, "/registry/x", 1, "key");
+        const RequestId again = fleet.callPlainService(2, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
         REQUIRE(fleet.running(again));
         fleet.finish(again, Outcome::Completed);
     }
     fleet.advance(milliseconds(100));
-    requireClean(fleet);
+    requireNoViolations(fleet);
 }
 
 // Guards against tokens, places and calls that stay behind when a caller leaves.
@@ -313,18 +313,18 @@
     {
         fleet.configure();
         fleet.advance(milliseconds(600));
-        const RequestId id = fleet.model(0, "base:greeting", 1, "greeting@1");
+        const RequestId id = fleet.callModel(0, "base:greeting", 1, "greeting@1");
         REQUIRE(fleet.states[0].calls.at(id).stage == CallStage::AwaitingTokens);
-        fleet.leave(id);
+        fleet.disconnectCaller(id);
         REQUIRE(fleet.states[0].quotas.accounts.at(admission::accountOf(OrganisationId{1})).waiting.empty());
     }
     SECTION("for a grant")
     {
         fleet.start();
         const std::vector<RequestId> running = fillRegistry(fleet);
-        const RequestId id = fleet.plain(0, "/open/x", std::nullopt);
+        const RequestId id = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.advance(milliseconds(100));
-        fleet.leave(id);
+        fleet.disconnectCaller(id);
         fleet.advance(milliseconds(100));
         for (const ServingState &state : fleet.states) {
             for (const auto &[pool, owned] : state.pools) {
@@ -336,5 +336,5 @@
         }
     }
     fleet.advance(seconds(1));
-    requireClean(fleet);
+    requireNoViolations(fleet);
 }
--- a/tests/serving/steps.h
+++ b/tests/serving/steps.h
@@ -11,13 +11,13 @@
 {
     std::vector<RequestId> ids;
     for (int i = 0; i < 8; ++i) {
-        ids.push_back(fleet.plain(i % 2 == 0 ? 0 : 2, "/open/x", std::nullopt));
+        ids.push_back(fleet.callPlainService(i % 2 == 0 ? 0 : 2, "/open/x", std::nullopt));
         fleet.advance(milliseconds(300)); // the next summary tells which pool is full
     }
     return ids;
 }
 
-inline void requireClean(Fleet &fleet)
+inline void requireNoViolations(Fleet &fleet)
 {
     fleet.checkEnd();
     for (const std::string &violation : fleet.violations) {
--- a/tests/serving/trackedcall.h
+++ b/tests/serving/trackedcall.h
@@ -19,7 +19,7 @@
     bool repeatable = true;
     std::optional<gateway::ServingGrant> grant; /**< Of the attempt that runs now. */
     unsigned runs = 0; /**< Attempts of which bytes reached a server. */
-    unsigned finals = 0; /**< Whole answers, errors and refusals that reached the caller. */
+    unsigned finalReplies = 0; /**< Whole answers, errors and refusals that reached the caller. */
     std::optional<gateway::ServingRefusal> refusal;
     std::optional<gateway::StoredAnswer> stored;
     std::vector<std::string> servers;
