--- a/include/mimosahollow/serving/actions.h
+++ b/include/mimosahollow/serving/actions.h
@@ -12,20 +12,21 @@
 
 namespace mimosahollow::serving {
 
-/** Answers a waiting call. */
+/** Reply to a request of the gateway: a grant, a refusal or a stored answer. */
 struct ReplyToCall
 {
     std::uint32_t gatewayThread = 0;
     gateway::ServingReply reply;
 };
 
+/** Sends a message to another instance. */
 struct SendToPeer
 {
     InstanceId to{};
     PeerMessage message;
 };
 
-/** Commits a command of an idempotent call; the result comes back as CommitResult. */
+/** Proposes a command to the replicated log on behalf of an idempotent call. The result is reported as CommitResult. */
 struct CommitCommand
 {
     RequestId call;
@@ -33,7 +34,7 @@
     control::CommandBody body;
 };
 
-/** One routing or placement decision for the log. */
+/** Writes a routing or placement decision to the log. */
 struct LogDecision
 {
     std::string_view decision; /**< "route", "refuse", "load", "evict", "spill", "retry". */
--- a/include/mimosahollow/serving/peermessage.h
+++ b/include/mimosahollow/serving/peermessage.h
@@ -14,7 +14,7 @@
 
 namespace mimosahollow::serving {
 
-/** The entry instance no longer waits for an answer to its AcquireRequest. */
+/** Withdraws an AcquireRequest: the entry instance no longer waits for a grant. */
 struct CancelRequest
 {
     RequestId id;
@@ -28,14 +28,14 @@
                                      scheduling::GrantReport,
                                      scheduling::PoolSummary>;
 
-/** Message about one pool, to its owner or from it. */
+/** Message to or from the owner of a pool. */
 struct PoolMessage
 {
-    PoolId pool{}; /**< 0 in a Grant or Refusal from another instance; the call tells the pool. */
+    PoolId pool{}; /**< 0 in a Grant or Refusal from another instance; the receiver takes the pool from its call. */
     PoolMessageBody body;
 };
 
-/** What the serving parts of instances send to each other. Announcements and reports go to the owner of the server's pool. */
+/** Message between the serving parts of two instances. Announcements and reports are sent to the owner of the server's pool. */
 using PeerMessage = std::variant<PoolMessage,
                                  gateway::BackendAnnouncement,
                                  gateway::BackendReport,
--- a/include/mimosahollow/serving/servingstate.h
+++ b/include/mimosahollow/serving/servingstate.h
@@ -24,28 +24,28 @@
 struct OwnedPool
 {
     scheduling::PoolState state;
-    TimePoint ownedUntil{}; /**< The lease may not be used after this time. */
-    bool awaitsLoadToken = false; /**< A load token is being obtained from the load bucket. */
-    RequestId loadTokenRequestId; /**< Names the waiting token in the quota leases. */
+    TimePoint ownedUntil{}; /**< End of the lease; nothing may be granted or ordered from then on. */
+    bool awaitsLoadToken = false; /**< A request for a token of the load budget is pending. */
+    RequestId loadTokenRequestId; /**< Id of that request in the quota leases. */
 };
 
-/** An order on its way to a backend server. */
+/** An order that was sent to a backend server and has no result yet. */
 struct PendingOrder
 {
     PoolId pool{};
-    std::uint64_t poolOrder = 0; /**< Number in the pool's state. */
-    FencingNumber fencing = 0; /**< Of the ownership that gave it; the next one counts its orders from 1 again. */
+    std::uint64_t poolOrder = 0; /**< Number of the order in the pool's state. */
+    FencingNumber fencing = 0; /**< Of the ownership that issued the order; each ownership numbers its orders from 1. */
 };
 
-/** Everything that one instance needs to serve calls. Touched by one thread only; driven by the functions in serving.h. */
+/** State of the serving part of an instance. Not thread-safe; changed by the functions in serving.h. */
 struct ServingState
 {
     InstanceId self{}; /**< 0 until the instance is registered. */
-    DomainId home{};
-    std::uint64_t process = 0;
-    TimePoint freshUntil{}; /**< Keys may be accepted until then. */
+    DomainId home{}; /**< Failure domain of this instance. */
+    std::uint64_t process = 0; /**< Random number that identifies this run of the process. */
+    TimePoint freshUntil{}; /**< Keys may be accepted until this time. */
     bool draining = false;
-    bool tokensReturned = false; /**< The quota leases were closed for the shutdown. */
+    bool tokensReturned = false; /**< The quota leases have been closed for the shutdown. */
     ConfigurationIndex index;
     admission::KeyTable keys;
     routing::RoutingIndex routes;
@@ -54,10 +54,10 @@
     TimePoint bucketsOwnedUntil{};
     admission::RetryBudget retryBudget;
     std::map<PoolId, OwnedPool> pools;
-    std::vector<routing::PoolSummary> summaries; /**< One for each pool of the configuration, in its order. */
-    std::map<PoolId, FencingNumber> reportedFencing; /**< Owner that has this instance's grant report. */
+    std::vector<routing::PoolSummary> summaries; /**< One for each pool, in the order of the configuration. */
+    std::map<PoolId, FencingNumber> reportedFencing; /**< Fencing number of the ownership to which the grants were last reported. */
     std::unordered_map<RequestId, Call> calls;
-    std::unordered_map<std::uint64_t, PendingOrder> pendingOrders;
+    std::unordered_map<std::uint64_t, PendingOrder> pendingOrders; /**< By the number of the gateway's order. */
     std::uint64_t nextOrder = 1;
     std::uint64_t nextLoadTokenSequence = 1;
     TimePoint nextSummariesAt{};
@@ -65,7 +65,7 @@
     std::mt19937_64 random;
 };
 
-/** @p process is the random start number of the process; @p seed feeds ties and random choices. */
+/** @p process identifies this run of the process; @p seed initialises the generator for ties and random choices. */
 [[nodiscard]] ServingState makeServingState(std::uint64_t process, std::uint64_t seed);
 
 } // namespace mimosahollow::serving
--- a/tests/serving/fleet.h
+++ b/tests/serving/fleet.h
@@ -18,41 +18,41 @@
 
 namespace mimosahollow::serving {
 
-/** Four instances in two failure domains with fake servers, links and log. Time and delivery are driven by the test. */
+/** Simulation of four instances in two failure domains with fake servers, links and log. The test controls time and delivery. */
 class Fleet
 {
 public:
     using Outcome = gateway::AttemptOutcome;
-    static constexpr const char *forbidden = "forbidden";
+    static constexpr const char *forbidden = "forbidden"; /**< As the expected adapter: any grant is a violation. */
 
     std::array<ServingState, 4> states;
     control::Configuration configuration;
     control::ControlState control;
     TimePoint now = TimePoint{} + seconds(1000);
     std::map<RequestId, TrackedCall> calls;
-    std::map<std::string, std::set<std::string>> resident; /**< Adapters by the server's address. */
-    std::map<std::string, unsigned> runsByKey;
-    std::set<std::size_t> down; /**< Instances that do not run. */
+    std::map<std::string, std::set<std::string>> resident; /**< Names of loaded adapters by server address. */
+    std::map<std::string, unsigned> runsByKey; /**< Runs by idempotency key. */
+    std::set<std::size_t> down; /**< Stopped instances. */
     std::set<std::size_t> unleased; /**< Instances whose pool leases are not renewed. */
-    std::set<std::size_t> stale; /**< Instances without a freshness lease. */
-    bool loseCommitAnswers = false;
-    bool holdCommits = false;
-    bool holdOrders = false;
+    std::set<std::size_t> stale; /**< Instances whose configuration is not confirmed as current. */
+    bool loseCommitAnswers = false; /**< Commands are applied, but reported as not committed. */
+    bool holdCommits = false; /**< Commands are put into @c held. */
+    bool holdOrders = false; /**< Orders are put into @c held. */
     bool largeAnswers = false; /**< Answers are too large to be stored. */
-    bool runsGrantsTwice = false; /**< Fault that the checker must catch. */
-    bool repeatsEverything = false; /**< Fault that the checker must catch: every call counts as repeatable. */
+    bool runsGrantsTwice = false; /**< Fault that the checks must detect: each attempt counts as two runs. */
+    bool repeatsEverything = false; /**< Fault that the checks must detect: every call counts as repeatable. */
     std::vector<std::string> violations;
 
     Fleet()
     {
         configuration = makeFleetConfiguration();
-        control.configuration = configuration; // records are kept for organisations that it knows
+        control.configuration = configuration; // idempotency records are stored only for configured organisations
         for (std::size_t i = 0; i < states.size(); ++i) {
             states[i] = makeServingState(i + 1, i + 1);
         }
     }
 
-    /** Until the token buckets hand out and all pools have published summaries. */
+    /** Runs until the token buckets grant tokens and all pools have published summaries. */
     void start()
     {
         configure();
@@ -93,7 +93,7 @@
         return submit(entry, std::move(request), expected, seconds(20));
     }
 
-    /** Ends the running attempt of a call as the gateway would report it. */
+    /** Ends the running attempt of a call and reports the result as the gateway does. */
     void finish(const RequestId &id, Outcome outcome)
     {
         TrackedCall &call = calls.at(id);
@@ -126,6 +126,7 @@
         });
     }
 
+    /** The caller disconnects, while its call runs or waits. */
     void disconnectCaller(const RequestId &id)
     {
         TrackedCall &call = calls.at(id);
@@ -142,7 +143,7 @@
         });
     }
 
-    /** Breaks the links of an instance and stops it. */
+    /** Stops an instance and disconnects it from the others. */
     void stop(std::size_t instance)
     {
         down.insert(instance);
@@ -153,7 +154,7 @@
         }
     }
 
-    /** A link breaks with all messages under way, and is there again at once. */
+    /** Interrupts a link: messages in transit are lost, and the link is usable again at once. */
     void breakLink(std::size_t first, std::size_t second)
     {
         ++linkBreaks[std::minmax(first, second)];
@@ -164,6 +165,7 @@
         }
     }
 
+    /** Assigns a pool to an owner under the next fencing number. */
     void assign(std::uint32_t pool, std::uint32_t owner)
     {
         configuration.pools[pool - 1].owner = InstanceId{owner};
@@ -171,6 +173,7 @@
         configure();
     }
 
+    /** Delivers up to @p most queued messages and results. */
     void deliver(std::size_t most = 100'000)
     {
         for (; most > 0 && !queue.empty(); --most) {
@@ -185,7 +188,7 @@
         now += milliseconds(20);
         for (const auto &[id, call] : calls) {
             if (call.grant && now >= call.grant->deadline) {
-                finish(id, Outcome::DeadlineExceeded); // as the gateway does
+                finish(id, Outcome::DeadlineExceeded); // the gateway ends calls at their deadline
             }
         }
         if (now >= m_nextRenewal) {
@@ -219,7 +222,7 @@
         return refusal ? std::optional(refusal->reason) : std::nullopt;
     }
 
-    /** Adds what holds only when every call has ended: one final reply each, no second run, nothing left behind. */
+    /** Checks the state after all calls have ended: one final reply each, no second run, no calls or grants left. */
     void checkEnd()
     {
         for (const auto &[id, call] : calls) {
@@ -240,9 +243,9 @@
         }
     }
 
-    std::deque<std::function<void()>> queue; /**< Messages and results under way. */
-    std::map<std::pair<std::size_t, std::size_t>, unsigned> linkBreaks; /**< Of links. */
-    std::vector<std::function<void()>> held; /**< By holdCommits and holdOrders; in their order. */
+    std::deque<std::function<void()>> queue; /**< Messages and results in transit. */
+    std::map<std::pair<std::size_t, std::size_t>, unsigned> linkBreaks; /**< Number of interruptions by link. */
+    std::vector<std::function<void()>> held; /**< Commits and orders kept back by holdCommits and holdOrders, in order. */
 
 private:
     RequestId submit(std::size_t entry, gateway::ServingRequest request, const std::string &expected, Duration deadline)
--- a/tests/serving/fleetconfiguration.h
+++ b/tests/serving/fleetconfiguration.h
@@ -7,7 +7,7 @@
 
 namespace mimosahollow::serving {
 
-/** Four instances in two failure domains; each owns one pool with one server. */
+/** Returns a configuration of four instances in two failure domains, each owning one pool with one server. */
 inline control::Configuration makeFleetConfiguration()
 {
     control::Configuration c;
--- a/tests/serving/steps.h
+++ b/tests/serving/steps.h
@@ -6,17 +6,18 @@
 
 namespace mimosahollow::serving {
 
-/** Fills all places of a plain service: its servers bear 4 calls each when cold. */
+/** Fills all slots of the plain service: each of its two servers takes 4 calls while cold. */
 inline std::vector<RequestId> fillRegistry(Fleet &fleet)
 {
     std::vector<RequestId> ids;
     for (int i = 0; i < 8; ++i) {
         ids.push_back(fleet.callPlainService(i % 2 == 0 ? 0 : 2, "/open/x", std::nullopt));
-        fleet.advance(milliseconds(300)); // the next summary tells which pool is full
+        fleet.advance(milliseconds(300)); // until the next summaries show which pool is full
     }
     return ids;
 }
 
+/** Requires that the simulation saw no violation. All calls must have ended. */
 inline void requireNoViolations(Fleet &fleet)
 {
     fleet.checkEnd();
--- a/tests/serving/trackedcall.h
+++ b/tests/serving/trackedcall.h
@@ -10,19 +10,19 @@
 
 namespace mimosahollow::serving {
 
-/** What the fake gateway and the fake backend servers saw of one call. */
+/** Record of one call as seen by the fake gateway and the fake backend servers. */
 struct TrackedCall
 {
     gateway::ServingRequest request;
-    std::size_t entry = 0;
-    std::string expectedAdapter; /**< forbidden: no grant is right. */
+    std::size_t entry = 0; /**< Index of the instance that received the call. */
+    std::string expectedAdapter; /**< Fleet::forbidden if the call must not be granted. */
     bool repeatable = true;
-    std::optional<gateway::ServingGrant> grant; /**< Of the attempt that runs now. */
-    unsigned runs = 0; /**< Attempts of which bytes reached a server. */
-    unsigned finalReplies = 0; /**< Whole answers, errors and refusals that reached the caller. */
+    std::optional<gateway::ServingGrant> grant; /**< Of the running attempt. */
+    unsigned runs = 0; /**< Number of attempts of which bytes reached a server. */
+    unsigned finalReplies = 0; /**< Number of complete answers, errors and refusals for the caller; also 1 after it disconnected. */
     std::optional<gateway::ServingRefusal> refusal;
     std::optional<gateway::StoredAnswer> stored;
-    std::vector<std::string> servers;
+    std::vector<std::string> servers; /**< Addresses in the order of the grants. */
 };
 
 } // namespace mimosahollow::serving
