--- a/benchmark/poolpolicy.h
+++ b/benchmark/poolpolicy.h
@@ -242,10 +242,10 @@
             const scheduling::PoolSummary &summary = m_summaries[i];
             views[i].pool = PoolId{i + 1};
             views[i].domain = mimosahollow::DomainId{i + 1};
-            views[i].distance = mimosahollow::milliseconds(i == call % m_summaries.size() ? 0 : 2);
+            views[i].roundTrip = mimosahollow::milliseconds(i == call % m_summaries.size() ? 0 : 2);
             views[i].inService = summary.inService;
             views[i].expectedWait = summary.expectedWait;
-            views[i].expectedLoad = summary.expectedLoadWait;
+            views[i].expectedLoadTime = summary.expectedLoadWait;
             views[i].freeCapacity = summary.freeSlots;
             views[i].totalCapacity = summary.totalSlots;
             views[i].resident = summary.adapters;
--- a/include/mimosahollow/dispatch/call.h
+++ b/include/mimosahollow/dispatch/call.h
@@ -21,8 +21,8 @@
     TimePoint arrived{};
     TimePoint objectiveEnd{}; /**< An answer, or the first event, is on time up to here. */
     TimePoint deadline{}; /**< The caller or the route wants no answer after this. */
-    std::set<std::string> tried; /**< Backend servers that it was sent to. */
-    std::string onlyServer; /**< It may go to no other one any more; empty: any. */
+    std::set<std::string> triedServers; /**< Backend servers that it was sent to. */
+    std::string pinnedServer; /**< It may go to no other one any more; empty: any. */
 };
 
 enum class RefusalCause : std::uint8_t {
--- a/include/mimosahollow/dispatch/dispatch.h
+++ b/include/mimosahollow/dispatch/dispatch.h
@@ -36,8 +36,8 @@
 /** Chooses a backend server for @p call. */
 [[nodiscard]] Decision decide(DispatchState &state, const Call &call, TimePoint now);
 
-/** A call is sent to @p server; call ended() when it is over. */
-void started(DispatchState &state, const std::string &server, TimePoint now);
+/** A call is sent to @p server; call callEnded() when it is over. */
+void callStarted(DispatchState &state, const std::string &server, TimePoint now);
 
 enum class CallResult : std::uint8_t {
     Answered,
@@ -47,12 +47,12 @@
     Abandoned, /**< The caller left. */
 };
 
-void ended(DispatchState &state, const std::string &server, CallResult result, TimePoint now);
+void callEnded(DispatchState &state, const std::string &server, CallResult result, TimePoint now);
 
 /** Takes over a record of a backend server. Returns whether it is newer than the known one. */
-bool noteServer(DispatchState &state, const registry::ServerRecord &record, TimePoint now);
-void notePlacement(DispatchState &state, const fleetlink::PlacementUpdate &update, TimePoint now);
+bool updateServer(DispatchState &state, const registry::ServerRecord &record, TimePoint now);
+void applyPlacement(DispatchState &state, const fleetlink::PlacementUpdate &update, TimePoint now);
 /** @p server says that it does not hold what @p call needs, or that it is another instance. */
-void noteMissing(DispatchState &state, const std::string &server, const Call &call, TimePoint now);
+void handleMissingModel(DispatchState &state, const std::string &server, const Call &call, TimePoint now);
 
 } // namespace mimosahollow::dispatch
--- a/include/mimosahollow/placement/modelorder.h
+++ b/include/mimosahollow/placement/modelorder.h
@@ -47,7 +47,7 @@
         std::string model;
         std::string adapter;
         std::uint64_t version = 0;
-        bool isComing = false;
+        bool isLoading = false;
     };
     std::vector<Copy> copies;
 };
--- a/include/mimosahollow/placement/orderslots.h
+++ b/include/mimosahollow/placement/orderslots.h
@@ -15,39 +15,39 @@
 constexpr unsigned orderSlotCount = 16; // two to five for each of 3 to 6 coordinators, so that shares differ little
 
 /** Slot of the engine with id @p server. */
-[[nodiscard]] unsigned orderSlotOf(std::string_view server) noexcept;
+[[nodiscard]] unsigned orderSlotFor(std::string_view server) noexcept;
 
 struct OrderSlotOptions
 {
-    Duration holderSilence = milliseconds(3100); /**< A new holder waits until the earlier one has been silent for its lease of 3 s. */
+    Duration reassignmentDelay = milliseconds(3100); /**< A new holder waits until the earlier one has been silent for its lease of 3 s. */
     /** A holder sends an order only while the leader has heard it within this time, so an order that was held up on its way is dropped. */
-    Duration creditAge = milliseconds(1000);
-    Duration silence = milliseconds(700); /**< A holder that the leader has not heard for so long gets no orders; three of its credits. */
-    Duration firstAssignment = milliseconds(500); /**< Coordinators that start together connect within this time. */
+    Duration maximumCreditAge = milliseconds(1000);
+    Duration contactTimeout = milliseconds(700); /**< A holder that the leader has not heard for so long gets no orders; three of its credits. */
+    Duration firstAssignmentDelay = milliseconds(500); /**< Coordinators that start together connect within this time. */
 };
 
 struct OrderSlot
 {
     std::string holder; /**< Empty: nobody yet. */
     std::uint64_t fencingNumber = 0; /**< Grows with each holder. */
-    TimePoint quietSince{}; /**< No orders from then on, since the slot is to change its holder; unset: orders may be sent. */
+    TimePoint suspendedSince{}; /**< No orders from then on, since the slot is to change its holder; unset: orders may be sent. */
 };
 
 /** The leader's view of who sends orders. */
 struct OrderSlots
 {
     OrderSlotOptions options;
-    TimePoint begun{}; /**< Of the leader's term. */
+    TimePoint termStart{}; /**< Of the leader's term. */
     std::vector<OrderSlot> slots = std::vector<OrderSlot>(orderSlotCount);
-    std::map<std::string, TimePoint, std::less<>> heard; /**< When each coordinator was heard last, by name. */
-    bool isAssigning = false; /**< A change of holders is under way; the next one waits for it. */
+    std::map<std::string, TimePoint, std::less<>> lastHeard; /**< When each coordinator was heard last, by name. */
+    bool assignmentPending = false; /**< A change of holders is under way; the next one waits for it. */
 };
 
 /** @p coordinator can send orders; its promise to drop old ones counts from now. */
-void noteCredit(OrderSlots &slots, std::string_view coordinator, TimePoint now);
+void recordCredit(OrderSlots &slots, std::string_view coordinator, TimePoint now);
 
 /** Whether orders can be sent to the engines of @p slot. */
-[[nodiscard]] bool takesOrders(const OrderSlots &slots, unsigned slot, TimePoint now);
+[[nodiscard]] bool canSendOrders(const OrderSlots &slots, unsigned slot, TimePoint now);
 
 /** A change of holders for the replicated log. */
 struct SlotAssignment
--- a/include/mimosahollow/placement/placement.h
+++ b/include/mimosahollow/placement/placement.h
@@ -15,10 +15,10 @@
 namespace mimosahollow::placement {
 
 /** A leader of @p term begins. It knows nothing of the engines. */
-void begin(PlacementState &state, std::uint64_t term, TimePoint now);
+void beginTerm(PlacementState &state, std::uint64_t term, TimePoint now);
 
 /** Takes over an announced backend server. @p isUsable: nothing but its own state keeps calls from it. */
-void noteServer(PlacementState &state, const registry::ServerRecord &record, bool isUsable, TimePoint now);
+void updateServer(PlacementState &state, const registry::ServerRecord &record, bool isUsable, TimePoint now);
 
 /** Calls of one adapter at one entry instance. */
 struct EntryDemand
@@ -29,25 +29,25 @@
     unsigned running = 0; /**< On engines now. */
 };
 
-void noteDemand(PlacementState &state, std::string_view entry, const AdapterKey &key, const std::string &service, const EntryDemand &counts, TimePoint now);
+void recordDemand(PlacementState &state, std::string_view entry, const AdapterKey &key, const std::string &service, const EntryDemand &counts, TimePoint now);
 
 /** @p entry is gone: its calls wait and run no more. */
-void noteEntryGone(PlacementState &state, std::string_view entry);
+void removeEntry(PlacementState &state, std::string_view entry);
 
 /** An entry instance cannot open connections to @p server. */
-void noteUnreachable(PlacementState &state, const std::string &server, TimePoint now);
+void markUnreachable(PlacementState &state, const std::string &server, TimePoint now);
 
 /** Time until an adapter is loaded that nobody waits for yet. Those that serve nobody in time come after it. */
-[[nodiscard]] Duration expectedLoad(const PlacementState &state, TimePoint now);
+[[nodiscard]] Duration expectedLoadTime(const PlacementState &state, TimePoint now);
 
 /** Engines whose state is to be read now; marks them. */
-[[nodiscard]] std::vector<std::string> dueReports(PlacementState &state, TimePoint now);
-void noteReport(PlacementState &state, const std::string &server, std::uint64_t born, const ModelReport &report, TimePoint now);
-void reportFailed(PlacementState &state, const std::string &server, TimePoint now);
+[[nodiscard]] std::vector<std::string> takeDueReports(PlacementState &state, TimePoint now);
+void applyReport(PlacementState &state, const std::string &server, std::uint64_t born, const ModelReport &report, TimePoint now);
+void handleReportFailure(PlacementState &state, const std::string &server, TimePoint now);
 
 /** Orders that are to be sent now; marks them as in flight, at most one for each engine. */
 [[nodiscard]] std::vector<ModelOrder> planOrders(PlacementState &state, const catalog::CatalogIndex &catalog, TimePoint now);
-void orderAnswered(PlacementState &state, const ModelOrder &order, OrderOutcome outcome, TimePoint now);
+void applyOrderReply(PlacementState &state, const ModelOrder &order, OrderOutcome outcome, TimePoint now);
 
 /** Oldest version on which calls of @p key may run; 0 when any will do. */
 [[nodiscard]] std::uint64_t requiredVersion(const PlacementState &state, const AdapterKey &key);
--- a/include/mimosahollow/placement/placementstate.h
+++ b/include/mimosahollow/placement/placementstate.h
@@ -23,23 +23,23 @@
     unsigned minimumStoreTransfers = 8;
     double storeTransfersPerLoadRate = 2; /**< Seconds: adapters in transit for each load of weights a second. */
     unsigned transfersPerServer = 4; /**< Bound of the engines. */
-    Duration adapterLoad = milliseconds(250); /**< From the store, while the store is not overloaded (sheet). */
-    Duration recentAdapterLoad = milliseconds(25); /**< An engine reloads an adapter that it held recently ten times as fast. */
+    Duration adapterLoadTime = milliseconds(250); /**< From the store, while the store is not overloaded (sheet). */
+    Duration cachedAdapterLoadTime = milliseconds(25); /**< An engine reloads an adapter that it held recently ten times as fast. */
     Duration loadMargin = milliseconds(8); /**< Time of an order on its way and of a timer. */
-    unsigned recentAdapters = 140; /**< Adapters that an engine keeps in host memory, a little below the 144 of the sheet. */
+    unsigned hostCacheAdapters = 140; /**< Adapters that an engine keeps in host memory, a little below the 144 of the sheet. */
     Duration reportInterval = seconds(4); /**< Of reading the state of each engine, to find what the orders do not tell. */
-    Duration leavingInterval = milliseconds(500); /**< Of reading an engine whose unload waits for calls; calls run for seconds. */
+    Duration unloadingReportInterval = milliseconds(500); /**< Of reading an engine whose unload waits for calls; calls run for seconds. */
     Duration reportLag = milliseconds(350); /**< A report shows the state of some hundred milliseconds earlier. */
-    double callsPerCopy = 7; /**< Calls per second of one adapter above which one more copy is made: 7 x 2.5 s fill a quarter of a batch. */
+    double callRatePerCopy = 7; /**< Calls per second of one adapter above which one more copy is made: 7 x 2.5 s fill a quarter of a batch. */
     Duration minimumIdle = milliseconds(1200); /**< An adapter used later than this is not evicted for a first copy of another. */
-    Duration replicaIdle = seconds(4); /**< The same for a further copy. */
-    Duration waitMemory = milliseconds(1500); /**< For how long a reported wait counts; entry instances report more often while calls wait. */
-    Duration suspicion = milliseconds(1000); /**< After the report of an entry instance that cannot reach an engine; reports come more often. */
+    Duration minimumIdleForReplica = seconds(4); /**< The same for a further copy. */
+    Duration waitReportLifetime = milliseconds(1500); /**< For how long a reported wait counts; entry instances report more often while calls wait. */
+    Duration unreachablePeriod = milliseconds(1000); /**< After the report of an entry instance that cannot reach an engine; reports come more often. */
     /** After an order without an answer; such an engine carries orders out up to 12 s late, and it takes seconds to learn whether it did. */
-    Duration unansweredMemory = seconds(4);
-    Duration smoothing = seconds(3); /**< Averaging time of the demand. */
-    Duration demandMemory = seconds(12); /**< Demand is forgotten after this; four averaging times leave 2% of it. */
-    Duration balanceInterval = milliseconds(250); /**< Load of the engines and further copies are worked out so often. */
+    Duration unansweredPenaltyTime = seconds(4);
+    Duration demandTimeConstant = seconds(3); /**< Averaging time of the demand. */
+    Duration demandRetention = seconds(12); /**< Demand is forgotten after this; four averaging times leave 2% of it. */
+    Duration rebalanceInterval = milliseconds(250); /**< Load of the engines and further copies are worked out so often. */
 };
 
 /** Model and adapter; the adapter is empty for the base model. */
@@ -64,7 +64,7 @@
     TimePoint lastUse{};
     bool isFromStore = false; /**< Its load occupies the weight store until readyAt. */
     bool isConfirmed = false; /**< The engine has accepted the load, or reports the copy. */
-    bool isLeaving = false; /**< Its unload waits for calls that run on it; it takes its place until then. */
+    bool isUnloading = false; /**< Its unload waits for calls that run on it; it takes its place until then. */
 };
 
 /** An engine as the leader knows it. */
@@ -73,24 +73,24 @@
     std::string service;
     std::string address;
     std::uint64_t born = 0;
-    bool isKnown = false; /**< Its state was read. */
+    bool hasReport = false; /**< Its state was read. */
     bool isReady = false; /**< Announces itself as ready and is in a domain that may be used. */
     bool isReplaced = false; /**< Another backend server answers at its address. */
     std::optional<std::uint64_t> sequence; /**< Unknown before the first report and after an order without an answer. */
     std::set<std::string> baseModels;
-    std::map<std::string, TimePoint> comingModels; /**< Base models in load, and when they are expected. */
+    std::map<std::string, TimePoint> loadingModels; /**< Base models in load, and when they are expected. */
     std::map<AdapterKey, AdapterCopy> adapters;
-    std::map<AdapterKey, std::uint64_t> recent; /**< Adapters held recently, and when, as a number that grows. */
-    std::uint64_t lastRecent = 0;
+    std::map<AdapterKey, std::uint64_t> hostCache; /**< Adapters held recently, and when, as a number that grows. */
+    std::uint64_t hostCacheClock = 0;
     double expectedCalls = 0; /**< Per second, by the demand for what it holds. */
     bool orderInFlight = false;
     bool reportInFlight = false;
-    std::optional<ModelOrder> unresolved; /**< Order without an answer. */
+    std::optional<ModelOrder> unresolvedOrder; /**< Order without an answer. */
     TimePoint lastOrder{};
     TimePoint reportDue{};
     TimePoint pausedUntil{}; /**< No orders before, after a conflict. */
-    TimePoint unansweredUntil{}; /**< It left an order without an answer: others are ordered first until then. */
-    TimePoint suspectUntil{}; /**< An entry instance cannot reach it: its copies do not count before. */
+    TimePoint penalizedUntil{}; /**< It left an order without an answer: others are ordered first until then. */
+    TimePoint unreachableUntil{}; /**< An entry instance cannot reach it: its copies do not count before. */
 };
 
 /** Demand for one adapter over all entry instances. */
@@ -106,8 +106,8 @@
     std::map<std::string, Wait> waiting; /**< By entry instance. */
     std::map<std::string, unsigned> running; /**< Calls on engines, by entry instance. */
     double callsPerSecond = 0;
-    TimePoint measured{};
-    TimePoint firstWait{};
+    TimePoint rateUpdated{};
+    TimePoint waitingSince{};
 };
 
 /** All that the leader knows of engines and adapters. */
@@ -116,13 +116,13 @@
     PlacementOptions options;
     std::uint64_t term = 0; /**< Of the leader. */
     OrderSlots slots;
-    TimePoint nextBalance{};
-    unsigned storeTransfers = PlacementOptions{}.minimumStoreTransfers; /**< Adapters that the store delivers at once at full speed. */
+    TimePoint nextRebalance{};
+    unsigned storeTransferLimit = PlacementOptions{}.minimumStoreTransfers; /**< Adapters that the store delivers at once at full speed. */
     std::map<std::string, EngineState> engines;
     std::map<AdapterKey, DemandState> demand;
-    std::map<std::string, std::uint64_t> namedVersions; /**< By "model/adapter". */
-    std::deque<TimePoint> storeLoads; /**< Times of recent loads of weights. */
-    std::set<std::string> changed; /**< Engines whose placement others need to hear. */
+    std::map<std::string, std::uint64_t> requiredVersions; /**< By "model/adapter". */
+    std::deque<TimePoint> recentWeightLoads; /**< Times of recent loads of weights. */
+    std::set<std::string> changedEngines; /**< Engines whose placement others need to hear. */
 };
 
 } // namespace mimosahollow::placement
--- a/include/mimosahollow/routing/poolchoice.h
+++ b/include/mimosahollow/routing/poolchoice.h
@@ -24,9 +24,9 @@
     bool inService = true;
     bool reachable = true;
     Duration expectedWait{}; /**< Of a call whose adapter is resident. */
-    Duration expectedLoad{}; /**< Added when the adapter is not resident. */
+    Duration expectedLoadTime{}; /**< Added when the adapter is not resident. */
     std::uint32_t freeCapacity = 0; /**< Calls that could start now. */
-    Duration distance{}; /**< Round trip to the owner. */
+    Duration roundTrip{}; /**< Round trip to the owner. */
     std::uint32_t totalCapacity = 0; /**< Calls that it runs at one time. */
     std::vector<AdapterId> resident; /**< Sorted. */
     std::vector<std::pair<AdapterId, Duration>> busy; /**< Resident adapters whose servers are all busy, and their waits; sorted. */
@@ -60,13 +60,13 @@
 inline constexpr Duration spreadMargin = milliseconds(10);
 
 /** Longest handicap of a pool that would have to load the adapter. The time of a load: more would send calls to a busy pool. */
-inline constexpr Duration longestHomeHandicap = milliseconds(250);
+inline constexpr Duration maximumPlacementPenalty = milliseconds(250);
 
 /**
  * Handicap of a pool that has no free capacity; it falls in proportion to the free part. A batch slows down as it fills, which
  * the expected wait does not show.
  */
-inline constexpr Duration fullPoolHandicap = milliseconds(80);
+inline constexpr Duration fullPoolPenalty = milliseconds(80);
 
 /** Wait that a call must expect at @p pool: queue, load if the adapter is not resident, slower tokens of a full batch, round trip. */
 [[nodiscard]] Duration expectedWait(const PoolSummary &pool, AdapterId adapter) noexcept;
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -178,7 +178,7 @@
             allowance::configure(m_rateLimiter, m_catalog->catalog());
         }
         applyOrderHolders();
-        m_placement.namedVersions = {m_state.adapterVersions.begin(), m_state.adapterVersions.end()};
+        m_placement.requiredVersions = {m_state.adapterVersions.begin(), m_state.adapterVersions.end()};
         std::vector<registry::ServerRecord> all;
         for (const auto &[id, entry] : m_registry.entries) {
             all.push_back(entry.record);
@@ -218,7 +218,7 @@
     m_reportRead.reset();
     m_sentCatalogs.clear();
     m_leadsSince = now;
-    placement::begin(m_placement, term, now);
+    placement::beginTerm(m_placement, term, now);
     m_holderCandidates.clear();
     m_remoteOrders.clear();
     stateChanged();
--- a/src/coordinator/coordinatorlinks.cpp
+++ b/src/coordinator/coordinatorlinks.cpp
@@ -118,7 +118,7 @@
             fleetlink::PlacementUpdate update{m_placement.term, {}};
             const TimePoint now = Clock::now();
             for (const auto &[id, engine] : m_placement.engines) {
-                if (engine.isKnown) {
+                if (engine.hasReport) {
                     update.servers.push_back(placementOf(id, now));
                 }
             }
@@ -230,12 +230,12 @@
         }
     }
     for (const std::string &server : report.unreachable) {
-        placement::noteUnreachable(m_placement, server, now);
+        placement::markUnreachable(m_placement, server, now);
     }
     bool anyWaits = false;
     for (const fleetlink::AdapterDemand &demand : report.demand) {
         const placement::EntryDemand counts{demand.waiting, demand.inTime, demand.started, demand.running};
-        placement::noteDemand(m_placement, peer.hello.name, {demand.model, demand.adapter}, demand.service, counts, now);
+        placement::recordDemand(m_placement, peer.hello.name, {demand.model, demand.adapter}, demand.service, counts, now);
         anyWaits = anyWaits || demand.waiting > 0;
     }
     if (anyWaits) {
@@ -265,7 +265,7 @@
     std::erase_if(m_entries, [this, now](const auto &item) {
         const bool isGone = now - item.second.lastReportAt > entryTimeout;
         if (isGone) {
-            placement::noteEntryGone(m_placement, item.first);
+            placement::removeEntry(m_placement, item.first);
         }
         return isGone;
     });
@@ -277,7 +277,7 @@
     }
     // A new leader has received few reports yet, but every entry instance has a connection.
     const auto entries = static_cast<unsigned>(std::max(m_entries.size(), m_hub->entryCount()));
-    const auto loadMilliseconds = static_cast<unsigned>(std::chrono::ceil<milliseconds>(placement::expectedLoad(m_placement, now)).count());
+    const auto loadMilliseconds = static_cast<unsigned>(std::chrono::ceil<milliseconds>(placement::expectedLoadTime(m_placement, now)).count());
     for (const std::string &name : m_confirmingReports) {
         const auto found = m_entries.find(name);
         if (found == m_entries.end()) {
--- a/src/coordinator/coordinatororders.cpp
+++ b/src/coordinator/coordinatororders.cpp
@@ -27,7 +27,7 @@
         const fleetstate::OrderHolder &holder = m_state.orderHolders[slot];
         if (slots[slot].fencingNumber != holder.fencingNumber) {
             slots[slot] = {holder.name, holder.fencingNumber, {}};
-            m_placement.slots.isAssigning = false;
+            m_placement.slots.assignmentPending = false;
         }
     }
 }
@@ -35,12 +35,12 @@
 /** Assigns order slots that have no holder able to send orders. */
 void Coordinator::planOrderHolders(TimePoint now)
 {
-    placement::noteCredit(m_placement.slots, m_settings.name, now);
+    placement::recordCredit(m_placement.slots, m_settings.name, now);
     auto assignment = placement::planAssignment(m_placement.slots, now);
     if (!assignment) {
         return;
     }
-    m_placement.slots.isAssigning = true; // until the replicated state contains the assignment
+    m_placement.slots.assignmentPending = true; // until the replicated state contains the assignment
     observability::DecisionLine line("order-holder");
     line.add("holder", assignment->holder).add("slots", assignment->slots.size()).add("term", m_placement.term);
     observability::logDecision(line.text());
@@ -83,7 +83,7 @@
         return;
     }
     m_holderCandidates[peer.hello.name] = {peer.number, credit.stamp};
-    placement::noteCredit(m_placement.slots, peer.hello.name, Clock::now());
+    placement::recordCredit(m_placement.slots, peer.hello.name, Clock::now());
 }
 
 /** Sends @p order directly or through the holder of its slot: an engine accepts orders from one machine only. */
@@ -92,7 +92,7 @@
     ++m_counters.orders;
     const TimePoint now = Clock::now();
     const control::Term term = m_placement.term;
-    const std::string &holder = m_placement.slots.slots[placement::orderSlotOf(order.server)].holder;
+    const std::string &holder = m_placement.slots.slots[placement::orderSlotFor(order.server)].holder;
     if (holder == m_settings.name) {
         m_engines.order(order, [this, alive = m_alive, order, sent = now, term](placement::OrderOutcome outcome) {
             if (*alive) {
@@ -112,7 +112,7 @@
 {
     // A delayed order could reach the engine together with orders of the next holder, which relies on the maximum age of a credit.
     const std::int64_t age = fleetlink::bootMilliseconds() - static_cast<std::int64_t>(request.credit);
-    const bool isLate = milliseconds(age) > m_settings.orderSlots.creditAge;
+    const bool isLate = milliseconds(age) > m_settings.orderSlots.maximumCreditAge;
     if (isLate || request.term < m_orderTerm) {
         observability::DecisionLine line("order-dropped");
         line.add("server", request.order.server).add("leader", peer.hello.name).add("term", request.term);
@@ -156,7 +156,7 @@
     line.add("server", order.server).add("kind", order.kind == placement::OrderKind::Load ? "load" : "unload");
     line.add("model", order.model).add("adapter", order.adapter).add("version", order.version);
     line.add("sequence", order.expectedSequence).add("fencing", order.fencingNumber);
-    line.add("holder", m_placement.slots.slots[placement::orderSlotOf(order.server)].holder);
+    line.add("holder", m_placement.slots.slots[placement::orderSlotFor(order.server)].holder);
     line.add("outcome", outcomeNames.at(static_cast<std::size_t>(outcome))).add("ms", now - sent);
     observability::logDecision(line.text());
     if (outcome == placement::OrderOutcome::Unknown) {
@@ -165,7 +165,7 @@
     if (!leads() || m_placement.term != term) {
         return;
     }
-    placement::orderAnswered(m_placement, order, outcome, now);
+    placement::applyOrderReply(m_placement, order, outcome, now);
     schedulePlacement();
 }
 
--- a/src/coordinator/coordinatorplacement.cpp
+++ b/src/coordinator/coordinatorplacement.cpp
@@ -28,7 +28,7 @@
         if (service == nullptr || !service->engine) {
             continue;
         }
-        placement::noteServer(m_placement, record, !m_state.evacuatedDomains.contains(record.domain), now);
+        placement::updateServer(m_placement, record, !m_state.evacuatedDomains.contains(record.domain), now);
     }
 }
 
@@ -62,7 +62,7 @@
 
 void Coordinator::requestEngineReports(TimePoint now)
 {
-    for (const std::string &server : placement::dueReports(m_placement, now)) {
+    for (const std::string &server : placement::takeDueReports(m_placement, now)) {
         const placement::EngineState &engine = m_placement.engines.at(server);
         const std::uint64_t term = m_placement.term;
         m_engines.report(server, engine.address, [this, alive = m_alive, server, term, born = engine.born](std::optional<placement::ModelReport> report) {
@@ -71,10 +71,10 @@
             }
             const TimePoint answered = Clock::now();
             if (report) {
-                placement::noteReport(m_placement, server, born, *report, answered);
+                placement::applyReport(m_placement, server, born, *report, answered);
                 flushPlacement();
             } else {
-                placement::reportFailed(m_placement, server, answered);
+                placement::handleReportFailure(m_placement, server, answered);
             }
         });
     }
@@ -83,7 +83,7 @@
 /** Sends all changed placements in one message after the pending events are handled. */
 void Coordinator::flushPlacement()
 {
-    if (m_placement.changed.empty() || m_placementFlushPosted) {
+    if (m_placement.changedEngines.empty() || m_placementFlushPosted) {
         return;
     }
     m_placementFlushPosted = true;
@@ -97,13 +97,13 @@
         }
         const TimePoint now = Clock::now();
         fleetlink::PlacementUpdate update{m_placement.term, {}};
-        for (const std::string &server : m_placement.changed) {
+        for (const std::string &server : m_placement.changedEngines) {
             const auto engine = m_placement.engines.find(server);
-            if (engine != m_placement.engines.end() && engine->second.isKnown) {
+            if (engine != m_placement.engines.end() && engine->second.hasReport) {
                 update.servers.push_back(placementOf(server, now));
             }
         }
-        m_placement.changed.clear();
+        m_placement.changedEngines.clear();
         if (update.servers.empty()) {
             return;
         }
@@ -122,8 +122,8 @@
     fleetlink::ServerPlacement placed{server, engine.born, {}};
     for (const auto &[key, copy] : engine.adapters) {
         // An unanswered order may not have been executed. Calls sent to the engine would be refused and lose their only attempt.
-        const bool isUncertain = engine.unresolved && engine.unresolved->model == key.model && engine.unresolved->adapter == key.adapter;
-        if (isUncertain || !copy.isConfirmed || copy.isLeaving) {
+        const bool isUncertain = engine.unresolvedOrder && engine.unresolvedOrder->model == key.model && engine.unresolvedOrder->adapter == key.adapter;
+        if (isUncertain || !copy.isConfirmed || copy.isUnloading) {
             continue;
         }
         const auto left = std::chrono::ceil<milliseconds>(copy.readyAt - now).count();
--- a/src/dispatch/dispatch.cpp
+++ b/src/dispatch/dispatch.cpp
@@ -21,16 +21,16 @@
 bool isUsable(const DispatchState &state, const ServerView &server, const Call &call, TimePoint now)
 {
     return server.record.state == registry::ServerState::Ready && server.record.service == call.service
-           && (call.onlyServer.empty() || call.onlyServer == server.record.id) && !state.evacuatedDomains.contains(server.record.domain)
-           && now >= server.avoidUntil && !call.tried.contains(server.record.id);
+           && (call.pinnedServer.empty() || call.pinnedServer == server.record.id) && !state.evacuatedDomains.contains(server.record.domain)
+           && now >= server.avoidUntil && !call.triedServers.contains(server.record.id);
 }
 
 unsigned capacity(const DispatchState &state, const ServerView &server, bool isEngine)
 {
     if (isEngine) {
-        return std::max(1U, static_cast<unsigned>(server.record.slots * state.options.batchShare));
+        return std::max(1U, static_cast<unsigned>(server.record.slots * state.options.maximumBatchFill));
     }
-    return server.record.slots + state.options.plainQueue;
+    return server.record.slots + state.options.plainQueueLimit;
 }
 
 /**
@@ -38,20 +38,20 @@
  * share is below one call a second; each instance then takes its turn at a random time, since one call a second of each of 58 is three times
  * what the backend server bears.
  */
-bool bearsCold(DispatchState &state, ServerView &server, const catalog::ServiceSpec &service, TimePoint now)
+bool acceptsColdCall(DispatchState &state, ServerView &server, const catalog::ServiceSpec &service, TimePoint now)
 {
     if (now >= server.coldUntil || service.coldCallsPerSecond <= 0) {
         return true;
     }
-    const double share = service.coldCallsPerSecond * state.options.coldOvershoot / std::max(1U, state.entries);
+    const double share = service.coldCallsPerSecond * state.options.coldRateShare / std::max(1U, state.entryInstances);
     const Duration window = share < 1 ? fromSeconds(1 / share) : coldWindow;
-    if (share < 1 && server.coldTurn == TimePoint{}) {
-        server.coldTurn = now + fromSeconds(std::uniform_real_distribution<double>(0, toSeconds(window))(state.random));
+    if (share < 1 && server.firstColdSend == TimePoint{}) {
+        server.firstColdSend = now + fromSeconds(std::uniform_real_distribution<double>(0, toSeconds(window))(state.random));
     }
     while (!server.coldSends.empty() && now - server.coldSends.front() >= window) {
         server.coldSends.pop_front();
     }
-    return now >= server.coldTurn && static_cast<double>(server.coldSends.size()) + 1 <= std::max(1.0, share);
+    return now >= server.firstColdSend && static_cast<double>(server.coldSends.size()) + 1 <= std::max(1.0, share);
 }
 
 struct Candidate
@@ -83,8 +83,8 @@
 /** Oldest version of its adapter on which @p call may run; 0 when any will do. */
 std::uint64_t requiredVersion(const DispatchState &state, const Call &call)
 {
-    const auto found = call.adapter.empty() ? state.adapterVersions.end() : state.adapterVersions.find(call.model + "/" + call.adapter);
-    return found == state.adapterVersions.end() ? 0 : found->second;
+    const auto found = call.adapter.empty() ? state.requiredVersions.end() : state.requiredVersions.find(call.model + "/" + call.adapter);
+    return found == state.requiredVersions.end() ? 0 : found->second;
 }
 
 double cost(DispatchState &state, const ServerView &server)
@@ -93,11 +93,11 @@
     const double distance = server.record.domain == state.options.domain ? 0 : state.options.otherDomainCost;
     // Instances that see the same counts must not all choose the same server.
     const double noise = std::uniform_real_distribution<double>(0, 0.03)(state.random);
-    return load + distance + noise + server.failureShare * state.options.failureCost;
+    return load + distance + noise + server.failureRate * state.options.failureCost;
 }
 
 /** @p share of the objective of @p call after its arrival, at most its deadline. */
-TimePoint partOfObjective(const Call &call, double share)
+TimePoint waitLimit(const Call &call, double share)
 {
     const auto part = std::chrono::duration_cast<Duration>((call.objectiveEnd - call.arrived) * share);
     return std::min(call.arrived + part, call.deadline);
@@ -109,7 +109,7 @@
  */
 Decision waitForAdapter(const DispatchState &state, const Call &call, TimePoint readyAt, TimePoint now)
 {
-    const TimePoint limit = partOfObjective(call, state.options.lateShare);
+    const TimePoint limit = waitLimit(call, state.options.adapterWaitShare);
     if (readyAt > now) {
         if (readyAt <= limit) {
             return Wait{RefusalCause::AdapterNotLoaded, readyAt};
@@ -118,8 +118,8 @@
     }
     // The estimate holds for a call that has just arrived; one that waits already is nearer to its turn.
     const bool isNew = now - call.arrived < recheck;
-    if (now >= limit || (isNew && now + state.adapterLoad > limit)) {
-        return Refuse{RefusalCause::AdapterNotLoaded, std::max(adapterRetry, state.adapterLoad)};
+    if (now >= limit || (isNew && now + state.expectedLoadTime > limit)) {
+        return Refuse{RefusalCause::AdapterNotLoaded, std::max(adapterRetry, state.expectedLoadTime)};
     }
     return Wait{RefusalCause::AdapterNotLoaded, std::min(limit, now + recheck)};
 }
@@ -129,7 +129,7 @@
     if (cause == RefusalCause::AdapterNotLoaded) {
         return waitForAdapter(state, call, readyAt, now);
     }
-    const TimePoint limit = partOfObjective(call, state.options.objectiveShare);
+    const TimePoint limit = waitLimit(call, state.options.waitShare);
     if (now >= limit) {
         return Refuse{cause, cause == RefusalCause::NoServer ? longRetry : shortRetry};
     }
@@ -183,7 +183,7 @@
             cause = std::max(cause, RefusalCause::NoCapacity);
             continue;
         }
-        if (!bearsCold(state, server, *service, now)) {
+        if (!acceptsColdCall(state, server, *service, now)) {
             cause = std::max(cause, RefusalCause::ColdServers);
             continue;
         }
@@ -196,13 +196,13 @@
     if (best) {
         return Send{best->server->record.id, best->server->record.address, best->version};
     }
-    if (!call.onlyServer.empty() && nextReady == TimePoint{}) {
-        return Refuse{cause, std::max(adapterRetry, state.adapterLoad)};
+    if (!call.pinnedServer.empty() && nextReady == TimePoint{}) {
+        return Refuse{cause, std::max(adapterRetry, state.expectedLoadTime)};
     }
     return waitOrRefuse(state, call, cause, nextReady, now);
 }
 
-void started(DispatchState &state, const std::string &server, TimePoint now)
+void callStarted(DispatchState &state, const std::string &server, TimePoint now)
 {
     if (const auto found = state.servers.find(server); found != state.servers.end()) {
         ++found->second.running;
@@ -212,7 +212,7 @@
     }
 }
 
-void ended(DispatchState &state, const std::string &server, CallResult result, TimePoint now)
+void callEnded(DispatchState &state, const std::string &server, CallResult result, TimePoint now)
 {
     const auto found = state.servers.find(server);
     if (found == state.servers.end()) {
@@ -222,13 +222,13 @@
     view.running -= view.running > 0 ? 1 : 0;
     switch (result) {
     case CallResult::Answered:
-        view.failureShare *= 1 - failureSmoothing;
+        view.failureRate *= 1 - failureSmoothing;
         break;
     case CallResult::Failed:
-        view.failureShare += (1 - view.failureShare) * failureSmoothing;
+        view.failureRate += (1 - view.failureRate) * failureSmoothing;
         break;
     case CallResult::Unreachable:
-        view.failureShare += (1 - view.failureShare) * failureSmoothing;
+        view.failureRate += (1 - view.failureRate) * failureSmoothing;
         view.avoidUntil = now + state.options.connectFailurePause;
         break;
     case CallResult::NotRun:
@@ -237,7 +237,7 @@
     }
 }
 
-bool noteServer(DispatchState &state, const registry::ServerRecord &record, TimePoint now)
+bool updateServer(DispatchState &state, const registry::ServerRecord &record, TimePoint now)
 {
     ServerView &view = state.servers[record.id];
     const bool isKnown = !view.record.id.empty();
@@ -256,24 +256,24 @@
     }
     view.record = record;
     if (now >= view.coldUntil) {
-        view.coldTurn = {}; // the turns of an earlier cold time are over: all instances would send at once
+        view.firstColdSend = {}; // the turns of an earlier cold time are over: all instances would send at once
     }
     view.coldUntil = now + milliseconds(record.coldMilliseconds);
-    if (!view.isPlaced || record.held.empty()) {
+    if (!view.hasPlacement || record.held.empty()) {
         view.adapters.clear();
     }
     view.baseModels.clear();
     for (const registry::HeldModel &held : record.held) {
         if (held.adapter.empty()) {
             view.baseModels.insert(held.model);
-        } else if (!view.isPlaced) {
+        } else if (!view.hasPlacement) {
             view.adapters[{held.model, held.adapter}] = {held.version, now};
         }
     }
     return true;
 }
 
-void notePlacement(DispatchState &state, const fleetlink::PlacementUpdate &update, TimePoint now)
+void applyPlacement(DispatchState &state, const fleetlink::PlacementUpdate &update, TimePoint now)
 {
     if (update.term < state.placementTerm) {
         return;
@@ -285,7 +285,7 @@
             continue;
         }
         ServerView &view = found->second;
-        view.isPlaced = true;
+        view.hasPlacement = true;
         view.adapters.clear();
         for (const fleetlink::PlacedAdapter &adapter : placement.adapters) {
             view.adapters[{adapter.model, adapter.adapter}] = {adapter.version, now + milliseconds(adapter.readyMilliseconds)};
@@ -293,7 +293,7 @@
     }
 }
 
-void noteMissing(DispatchState &state, const std::string &server, const Call &call, TimePoint now)
+void handleMissingModel(DispatchState &state, const std::string &server, const Call &call, TimePoint now)
 {
     const auto found = state.servers.find(server);
     if (found == state.servers.end()) {
--- a/src/ingress/callrelay.cpp
+++ b/src/ingress/callrelay.cpp
@@ -281,10 +281,10 @@
         if (last == AttemptEnd::Missing) {
             m_entry.noteMissing(target.server, m_call);
             if (m_sentTo.size() >= m_route->maximumAttempts) {
-                m_call.onlyServer = target.server; // its load may end a little later than expected
+                m_call.pinnedServer = target.server; // its load may end a little later than expected
             }
         } else {
-            m_call.tried.insert(target.server);
+            m_call.triedServers.insert(target.server);
         }
         if (last == AttemptEnd::Unreachable) {
             continue;
@@ -293,7 +293,7 @@
             break;
         }
         const bool mayGoElsewhere = m_sentTo.size() < m_route->maximumAttempts;
-        if ((!mayGoElsewhere && m_call.onlyServer.empty()) || !m_entry.takeRetry(m_call.service)) {
+        if ((!mayGoElsewhere && m_call.pinnedServer.empty()) || !m_entry.takeRetry(m_call.service)) {
             break;
         }
         m_entry.metrics().attemptRetried();
--- a/src/ingress/entrycalls.cpp
+++ b/src/ingress/entrycalls.cpp
@@ -81,7 +81,7 @@
     dispatch::Decision decision = dispatch::decide(m_dispatch, call, now);
     Waiter waiter(m_context);
     if (const auto *send = std::get_if<dispatch::Send>(&decision)) {
-        dispatch::started(m_dispatch, send->server, now);
+        dispatch::callStarted(m_dispatch, send->server, now);
         waiter.choice = *send;
     } else if (const auto *refuse = std::get_if<dispatch::Refuse>(&decision)) {
         waiter.choice = *refuse;
@@ -136,7 +136,7 @@
             m_running.erase(running);
         }
     }
-    dispatch::ended(m_dispatch, server, result, Clock::now());
+    dispatch::callEnded(m_dispatch, server, result, Clock::now());
     if (!m_waiters.empty()) {
         postPump();
     }
@@ -144,7 +144,7 @@
 
 void Entry::noteMissing(const std::string &server, const dispatch::Call &call)
 {
-    dispatch::noteMissing(m_dispatch, server, call, Clock::now());
+    dispatch::handleMissingModel(m_dispatch, server, call, Clock::now());
 }
 
 void Entry::postPump()
@@ -170,7 +170,7 @@
         }
         const dispatch::Decision decision = dispatch::decide(m_dispatch, *waiter->call, now);
         if (const auto *send = std::get_if<dispatch::Send>(&decision)) {
-            dispatch::started(m_dispatch, send->server, now);
+            dispatch::callStarted(m_dispatch, send->server, now);
             waiter->choice = *send;
             waiter->timer.cancel();
         } else if (const auto *refuse = std::get_if<dispatch::Refuse>(&decision)) {
@@ -194,7 +194,7 @@
 {
     admission::RetryBudget &budget = m_dispatch.retryBudgets[service];
     budget.ratio = m_settings.retryRatio;
-    const double reserve = std::max(1.0, m_settings.retryReserve / m_dispatch.entries);
+    const double reserve = std::max(1.0, m_settings.retryReserve / m_dispatch.entryInstances);
     if (budget.reserve != reserve) {
         budget.reserve = reserve;
         budget.balance = std::min(budget.balance, reserve);
--- a/src/ingress/entrylinks.cpp
+++ b/src/ingress/entrylinks.cpp
@@ -40,7 +40,7 @@
         }
     } else if (const auto *update = std::get_if<fleetlink::ServerUpdate>(&message)) {
         for (const registry::ServerRecord &record : update->servers) {
-            if (dispatch::noteServer(m_dispatch, record, now)) {
+            if (dispatch::updateServer(m_dispatch, record, now)) {
                 observability::DecisionLine line("server");
                 line.add("id", record.id).add("state", static_cast<std::uint64_t>(record.state)).add("address", record.address);
                 line.add("sequence", record.sequence).add("source", peer.hello.name);
@@ -53,7 +53,7 @@
     } else if (const auto *reply = std::get_if<fleetlink::LeaderReply>(&message)) {
         takeReply(*reply);
     } else if (const auto *placement = std::get_if<fleetlink::PlacementUpdate>(&message)) {
-        dispatch::notePlacement(m_dispatch, *placement, now);
+        dispatch::applyPlacement(m_dispatch, *placement, now);
         postPump();
     }
 }
@@ -82,7 +82,7 @@
     }
     m_state.catalogText.reset(); // the index holds what is needed
     m_dispatch.evacuatedDomains = m_state.evacuatedDomains;
-    m_dispatch.adapterVersions = m_state.adapterVersions;
+    m_dispatch.requiredVersions = m_state.adapterVersions;
     observability::DecisionLine line("state");
     line.add("index", m_state.index).add("catalog", m_state.catalogVersion).add("evacuated", m_state.evacuatedDomains.size());
     observability::logDecision(line.text());
@@ -93,9 +93,9 @@
 {
     const TimePoint now = Clock::now();
     m_confirmedAt = std::max(m_confirmedAt, static_cast<std::int64_t>(reply.stamp));
-    m_dispatch.entries = std::max(1U, reply.entries);
+    m_dispatch.entryInstances = std::max(1U, reply.entries);
     boundIdleConnections();
-    m_dispatch.adapterLoad = milliseconds(reply.loadMilliseconds);
+    m_dispatch.expectedLoadTime = milliseconds(reply.loadMilliseconds);
     m_sendsHistory = reply.wantsHistory;
     for (boost::asio::steady_timer *waiter : std::exchange(m_stateWaiters, {})) {
         waiter->cancel();
@@ -137,7 +137,7 @@
     std::size_t limit = std::numeric_limits<std::size_t>::max();
     for (const catalog::ServiceSpec &service : m_dispatch.catalog->catalog().services) {
         if (service.maximumConnections > 0) {
-            limit = std::min<std::size_t>(limit, service.maximumConnections / (2 * m_dispatch.entries));
+            limit = std::min<std::size_t>(limit, service.maximumConnections / (2 * m_dispatch.entryInstances));
         }
     }
     m_upstream.setIdleLimit(limit);
--- a/src/placement/internal.h
+++ b/src/placement/internal.h
@@ -5,6 +5,6 @@
 namespace mimosahollow::placement {
 
 /** @p engine holds, or has held just now, the adapter @p key: it reloads it quickly. */
-void noteRecent(const PlacementState &state, EngineState &engine, const AdapterKey &key);
+void touchHostCache(const PlacementState &state, EngineState &engine, const AdapterKey &key);
 
 } // namespace mimosahollow::placement
--- a/src/placement/orderslots.cpp
+++ b/src/placement/orderslots.cpp
@@ -10,23 +10,23 @@
 
 bool isHeard(const OrderSlots &slots, std::string_view coordinator, TimePoint now)
 {
-    const auto found = slots.heard.find(coordinator);
-    return found != slots.heard.end() && now - found->second <= slots.options.silence;
+    const auto found = slots.lastHeard.find(coordinator);
+    return found != slots.lastHeard.end() && now - found->second <= slots.options.contactTimeout;
 }
 
 /** From when on @p slot has certainly got no order of its holder. An order that the holder accepts was sent within the age of its credit. */
 TimePoint silentFrom(const OrderSlots &slots, const OrderSlot &slot)
 {
-    const auto found = slots.heard.find(slot.holder);
-    const TimePoint heard = found == slots.heard.end() ? slots.begun : std::max(slots.begun, found->second);
-    const TimePoint quiet = slot.quietSince == TimePoint{} ? TimePoint::max() : slot.quietSince;
-    return std::min(heard, quiet) + slots.options.creditAge + slots.options.holderSilence;
+    const auto found = slots.lastHeard.find(slot.holder);
+    const TimePoint lastHeard = found == slots.lastHeard.end() ? slots.termStart : std::max(slots.termStart, found->second);
+    const TimePoint quiet = slot.suspendedSince == TimePoint{} ? TimePoint::max() : slot.suspendedSince;
+    return std::min(lastHeard, quiet) + slots.options.maximumCreditAge + slots.options.reassignmentDelay;
 }
 
 std::map<std::string_view, unsigned> shares(const OrderSlots &slots, TimePoint now)
 {
     std::map<std::string_view, unsigned> counts;
-    for (const auto &[name, heard] : slots.heard) {
+    for (const auto &[name, lastHeard] : slots.lastHeard) {
         if (isHeard(slots, name, now)) {
             counts[name] = 0;
         }
@@ -45,32 +45,32 @@
 
 } // namespace
 
-unsigned orderSlotOf(std::string_view server) noexcept
+unsigned orderSlotFor(std::string_view server) noexcept
 {
     return static_cast<unsigned>(XXH3_64bits(server.data(), server.size()) % orderSlotCount);
 }
 
-void noteCredit(OrderSlots &slots, std::string_view coordinator, TimePoint now)
+void recordCredit(OrderSlots &slots, std::string_view coordinator, TimePoint now)
 {
-    slots.heard.insert_or_assign(std::string(coordinator), now);
+    slots.lastHeard.insert_or_assign(std::string(coordinator), now);
 }
 
-bool takesOrders(const OrderSlots &slots, unsigned slot, TimePoint now)
+bool canSendOrders(const OrderSlots &slots, unsigned slot, TimePoint now)
 {
     const OrderSlot &entry = slots.slots.at(slot);
-    return !entry.holder.empty() && entry.quietSince == TimePoint{} && isHeard(slots, entry.holder, now);
+    return !entry.holder.empty() && entry.suspendedSince == TimePoint{} && isHeard(slots, entry.holder, now);
 }
 
 std::optional<SlotAssignment> planAssignment(OrderSlots &slots, TimePoint now)
 {
     auto counts = shares(slots, now);
-    if (counts.empty() || slots.isAssigning) {
+    if (counts.empty() || slots.assignmentPending) {
         return std::nullopt;
     }
     const bool isFirst = std::all_of(slots.slots.begin(), slots.slots.end(), [](const OrderSlot &slot) {
         return slot.holder.empty();
     });
-    if (isFirst && now - slots.begun < slots.options.firstAssignment) {
+    if (isFirst && now - slots.termStart < slots.options.firstAssignmentDelay) {
         return std::nullopt;
     }
     // Slots without a holder that can send: one assignment a time, to the coordinator with the fewest.
@@ -79,7 +79,7 @@
     SlotAssignment assignment{std::string(emptiest->first), {}};
     for (unsigned number = 0; number < slots.slots.size(); ++number) {
         const OrderSlot &slot = slots.slots[number];
-        const bool isFree = slot.holder.empty() || (!takesOrders(slots, number, now) && now >= silentFrom(slots, slot));
+        const bool isFree = slot.holder.empty() || (!canSendOrders(slots, number, now) && now >= silentFrom(slots, slot));
         if (isFree && emptiest->second + assignment.slots.size() < share) {
             assignment.slots.push_back(number);
         }
@@ -90,13 +90,13 @@
     // A coordinator that came back takes one slot after the other, each quiet for the lease of its earlier holder.
     const auto fullest = std::max_element(counts.begin(), counts.end(), fewerSlots);
     const bool anyQuiet = std::any_of(slots.slots.begin(), slots.slots.end(), [](const OrderSlot &slot) {
-        return slot.quietSince != TimePoint{};
+        return slot.suspendedSince != TimePoint{};
     });
     if (!anyQuiet && fullest->second > emptiest->second + 1) {
         const auto slot = std::find_if(slots.slots.begin(), slots.slots.end(), [&fullest](const OrderSlot &entry) {
             return entry.holder == fullest->first;
         });
-        slot->quietSince = now;
+        slot->suspendedSince = now;
     }
     return std::nullopt;
 }
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -11,15 +11,15 @@
 
 void startOver(EngineState &engine, TimePoint now)
 {
-    engine.isKnown = false;
+    engine.hasReport = false;
     engine.sequence.reset();
     engine.baseModels.clear();
-    engine.comingModels.clear();
+    engine.loadingModels.clear();
     engine.adapters.clear();
-    engine.recent.clear();
+    engine.hostCache.clear();
     engine.orderInFlight = false;
     engine.reportInFlight = false;
-    engine.unresolved.reset();
+    engine.unresolvedOrder.reset();
     engine.isReplaced = false;
     engine.reportDue = now;
     engine.pausedUntil = now;
@@ -31,19 +31,19 @@
     engine.isReplaced = true;
     engine.baseModels.clear();
     engine.adapters.clear();
-    engine.unresolved.reset();
+    engine.unresolvedOrder.reset();
 }
 
 /** Replaces what is known of @p engine by @p report. */
-void adopt(PlacementState &state, EngineState &engine, const ModelReport &report, TimePoint now)
+void replaceState(PlacementState &state, EngineState &engine, const ModelReport &report, TimePoint now)
 {
     std::map<AdapterKey, AdapterCopy> adapters;
     engine.baseModels.clear();
-    engine.comingModels.clear();
+    engine.loadingModels.clear();
     for (const ModelReport::Copy &copy : report.copies) {
         if (copy.adapter.empty()) {
-            if (copy.isComing) {
-                engine.comingModels.emplace(copy.model, now + seconds(1));
+            if (copy.isLoading) {
+                engine.loadingModels.emplace(copy.model, now + seconds(1));
             } else {
                 engine.baseModels.insert(copy.model);
             }
@@ -56,38 +56,38 @@
         }
         known.version = copy.version;
         known.isConfirmed = true;
-        known.readyAt = copy.isComing ? std::max(known.readyAt, now + state.options.adapterLoad / 2) : std::min(known.readyAt, now);
+        known.readyAt = copy.isLoading ? std::max(known.readyAt, now + state.options.adapterLoadTime / 2) : std::min(known.readyAt, now);
         adapters[key] = known;
-        noteRecent(state, engine, key);
+        touchHostCache(state, engine, key);
     }
     engine.adapters = std::move(adapters);
     engine.sequence = report.sequence;
-    engine.isKnown = true;
+    engine.hasReport = true;
 }
 
 } // namespace
 
-void noteRecent(const PlacementState &state, EngineState &engine, const AdapterKey &key)
+void touchHostCache(const PlacementState &state, EngineState &engine, const AdapterKey &key)
 {
-    engine.recent[key] = ++engine.lastRecent;
-    if (engine.recent.size() > state.options.recentAdapters) {
-        engine.recent.erase(std::min_element(engine.recent.begin(), engine.recent.end(), [](const auto &left, const auto &right) {
+    engine.hostCache[key] = ++engine.hostCacheClock;
+    if (engine.hostCache.size() > state.options.hostCacheAdapters) {
+        engine.hostCache.erase(std::min_element(engine.hostCache.begin(), engine.hostCache.end(), [](const auto &left, const auto &right) {
             return left.second < right.second;
         }));
     }
 }
 
-void begin(PlacementState &state, std::uint64_t term, TimePoint now)
+void beginTerm(PlacementState &state, std::uint64_t term, TimePoint now)
 {
     PlacementState fresh;
     fresh.options = state.options;
     fresh.slots.options = state.slots.options;
-    fresh.slots.begun = now;
+    fresh.slots.termStart = now;
     fresh.term = term;
     state = std::move(fresh);
 }
 
-void noteServer(PlacementState &state, const registry::ServerRecord &record, bool isUsable, TimePoint now)
+void updateServer(PlacementState &state, const registry::ServerRecord &record, bool isUsable, TimePoint now)
 {
     if (record.state == registry::ServerState::Gone) {
         if (const auto found = state.engines.find(record.id); found != state.engines.end() && found->second.born <= record.born) {
@@ -101,7 +101,7 @@
     }
     if (engine.born != record.born || engine.address != record.address) {
         startOver(engine, now);
-        state.changed.insert(record.id);
+        state.changedEngines.insert(record.id);
     }
     engine.born = record.born;
     engine.service = record.service;
@@ -109,42 +109,42 @@
     engine.isReady = isUsable && record.state == registry::ServerState::Ready;
 }
 
-void noteUnreachable(PlacementState &state, const std::string &server, TimePoint now)
+void markUnreachable(PlacementState &state, const std::string &server, TimePoint now)
 {
     if (const auto found = state.engines.find(server); found != state.engines.end()) {
-        found->second.suspectUntil = now + state.options.suspicion;
+        found->second.unreachableUntil = now + state.options.unreachablePeriod;
     }
 }
 
-Duration expectedLoad(const PlacementState &state, TimePoint now)
+Duration expectedLoadTime(const PlacementState &state, TimePoint now)
 {
     std::size_t queued = 0;
     for (const auto &[key, demand] : state.demand) {
         const bool isWaitedFor = std::any_of(demand.waiting.begin(), demand.waiting.end(), [&state, now](const auto &item) {
-            return item.second.inTime > 0 && now - item.second.reported <= state.options.adapterLoad;
+            return item.second.inTime > 0 && now - item.second.reported <= state.options.adapterLoadTime;
         });
         const bool isQueued = isWaitedFor && std::none_of(state.engines.begin(), state.engines.end(), [&key = key](const auto &item) {
                                   return item.second.adapters.contains(key);
                               });
         queued += isQueued ? 1 : 0;
     }
-    const auto rounds = static_cast<Duration::rep>(queued / std::max(1U, state.storeTransfers) + 1);
-    return rounds * state.options.adapterLoad;
+    const auto rounds = static_cast<Duration::rep>(queued / std::max(1U, state.storeTransferLimit) + 1);
+    return rounds * state.options.adapterLoadTime;
 }
 
-void noteDemand(PlacementState &state, std::string_view entry, const AdapterKey &key, const std::string &service, const EntryDemand &counts, TimePoint now)
+void recordDemand(PlacementState &state, std::string_view entry, const AdapterKey &key, const std::string &service, const EntryDemand &counts, TimePoint now)
 {
     DemandState &demand = state.demand[key];
     demand.service = service;
-    const double age = std::max(0.0, toSeconds(now - demand.measured));
-    const double window = toSeconds(state.options.smoothing);
+    const double age = std::max(0.0, toSeconds(now - demand.rateUpdated));
+    const double window = toSeconds(state.options.demandTimeConstant);
     demand.callsPerSecond = demand.callsPerSecond * std::exp(-age / window) + counts.started / window;
-    demand.measured = now;
+    demand.rateUpdated = now;
     if (counts.waiting == 0) {
         demand.waiting.erase(std::string(entry));
     } else {
         if (demand.waiting.empty()) {
-            demand.firstWait = now;
+            demand.waitingSince = now;
         }
         demand.waiting[std::string(entry)] = {counts.waiting, counts.inTime, now};
     }
@@ -163,7 +163,7 @@
     }
 }
 
-void noteEntryGone(PlacementState &state, std::string_view entry)
+void removeEntry(PlacementState &state, std::string_view entry)
 {
     for (auto &[key, demand] : state.demand) {
         demand.waiting.erase(std::string(entry));
@@ -171,7 +171,7 @@
     }
 }
 
-std::vector<std::string> dueReports(PlacementState &state, TimePoint now)
+std::vector<std::string> takeDueReports(PlacementState &state, TimePoint now)
 {
     std::vector<std::string> due;
     for (auto &[id, engine] : state.engines) {
@@ -183,7 +183,7 @@
     return due;
 }
 
-void noteReport(PlacementState &state, const std::string &server, std::uint64_t born, const ModelReport &report, TimePoint now)
+void applyReport(PlacementState &state, const std::string &server, std::uint64_t born, const ModelReport &report, TimePoint now)
 {
     const auto found = state.engines.find(server);
     if (found == state.engines.end() || found->second.born != born) {
@@ -193,22 +193,22 @@
     engine.reportInFlight = false;
     if (report.born != 0 && report.born != born) {
         noteReplaced(engine);
-        state.changed.insert(server);
+        state.changedEngines.insert(server);
         return;
     }
     engine.reportDue = now + state.options.reportInterval;
-    if (engine.unresolved) {
-        if (report.sequence <= engine.unresolved->expectedSequence && now - engine.lastOrder < state.options.reportLag) {
+    if (engine.unresolvedOrder) {
+        if (report.sequence <= engine.unresolvedOrder->expectedSequence && now - engine.lastOrder < state.options.reportLag) {
             engine.reportDue = engine.lastOrder + state.options.reportLag;
             return;
         }
         // Not carried out yet: the same order is sent again. Its sequence lets only one of the two be carried out.
-        if (report.sequence == engine.unresolved->expectedSequence) {
+        if (report.sequence == engine.unresolvedOrder->expectedSequence) {
             engine.sequence = report.sequence;
-            engine.unresolved.reset();
+            engine.unresolvedOrder.reset();
             return;
         }
-        engine.unresolved.reset();
+        engine.unresolvedOrder.reset();
     } else if (engine.sequence) {
         if (report.sequence < *engine.sequence) {
             return;
@@ -217,15 +217,15 @@
             return;
         }
     }
-    adopt(state, engine, report, now);
+    replaceState(state, engine, report, now);
     const bool anyLeaves = std::any_of(engine.adapters.begin(), engine.adapters.end(), [](const auto &item) {
-        return item.second.isLeaving;
+        return item.second.isUnloading;
     });
-    engine.reportDue = now + (anyLeaves ? state.options.leavingInterval : state.options.reportInterval);
-    state.changed.insert(server);
+    engine.reportDue = now + (anyLeaves ? state.options.unloadingReportInterval : state.options.reportInterval);
+    state.changedEngines.insert(server);
 }
 
-void reportFailed(PlacementState &state, const std::string &server, TimePoint now)
+void handleReportFailure(PlacementState &state, const std::string &server, TimePoint now)
 {
     if (const auto found = state.engines.find(server); found != state.engines.end()) {
         found->second.reportInFlight = false;
@@ -233,7 +233,7 @@
     }
 }
 
-void orderAnswered(PlacementState &state, const ModelOrder &order, OrderOutcome outcome, TimePoint now)
+void applyOrderReply(PlacementState &state, const ModelOrder &order, OrderOutcome outcome, TimePoint now)
 {
     const auto found = state.engines.find(order.server);
     if (found == state.engines.end() || found->second.born != order.born) {
@@ -255,8 +255,8 @@
         }
         if (order.kind == OrderKind::Unload && outcome == OrderOutcome::Accepted) {
             // It waits for calls that run, keeps its place meanwhile, and refuses new calls.
-            engine.adapters[key].isLeaving = true;
-            engine.reportDue = now + state.options.leavingInterval;
+            engine.adapters[key].isUnloading = true;
+            engine.reportDue = now + state.options.unloadingReportInterval;
         } else if (order.kind == OrderKind::Unload) {
             engine.adapters.erase(key);
         } else if (!order.adapter.empty()) {
@@ -273,7 +273,7 @@
         if (order.kind == OrderKind::Load) {
             engine.adapters.erase(key);
             if (order.adapter.empty()) {
-                engine.comingModels.erase(order.model);
+                engine.loadingModels.erase(order.model);
             }
         }
         engine.sequence.reset();
@@ -281,19 +281,19 @@
         engine.pausedUntil = now + milliseconds(150);
         break;
     case OrderOutcome::Unknown:
-        engine.unresolved = order;
-        engine.unansweredUntil = now + state.options.unansweredMemory;
+        engine.unresolvedOrder = order;
+        engine.penalizedUntil = now + state.options.unansweredPenaltyTime;
         engine.sequence.reset();
         engine.reportDue = now + milliseconds(100);
         break;
     }
-    state.changed.insert(order.server);
+    state.changedEngines.insert(order.server);
 }
 
 std::uint64_t requiredVersion(const PlacementState &state, const AdapterKey &key)
 {
-    const auto found = state.namedVersions.find(key.model + "/" + key.adapter);
-    return found == state.namedVersions.end() ? 0 : found->second;
+    const auto found = state.requiredVersions.find(key.model + "/" + key.adapter);
+    return found == state.requiredVersions.end() ? 0 : found->second;
 }
 
 } // namespace mimosahollow::placement
--- a/src/placement/planorders.cpp
+++ b/src/placement/planorders.cpp
@@ -18,9 +18,9 @@
 /** Of an engine that left an order without an answer; above all other parts of the cost, so that it is ordered only when no other can be. */
 constexpr double unansweredCost = 20;
 
-bool isUnresolved(const EngineState &engine, const AdapterKey &key)
+bool hasUnresolvedOrder(const EngineState &engine, const AdapterKey &key)
 {
-    return engine.unresolved && engine.unresolved->model == key.model && engine.unresolved->adapter == key.adapter;
+    return engine.unresolvedOrder && engine.unresolvedOrder->model == key.model && engine.unresolvedOrder->adapter == key.adapter;
 }
 
 struct Planner
@@ -40,21 +40,21 @@
 
     [[nodiscard]] bool canOrder(const std::string &id, const EngineState &engine) const
     {
-        return takesOrders(state.slots, orderSlotOf(id), now) && engine.isReady && !engine.isReplaced && now >= engine.suspectUntil && engine.sequence
-               && !engine.orderInFlight && !engine.unresolved && now >= engine.pausedUntil;
+        return canSendOrders(state.slots, orderSlotFor(id), now) && engine.isReady && !engine.isReplaced && now >= engine.unreachableUntil && engine.sequence
+               && !engine.orderInFlight && !engine.unresolvedOrder && now >= engine.pausedUntil;
     }
 
     [[nodiscard]] double callsPerSecond(const DemandState &demand) const
     {
-        const double age = std::max(0.0, toSeconds(now - demand.measured));
-        return demand.callsPerSecond * std::exp(-age / toSeconds(state.options.smoothing));
+        const double age = std::max(0.0, toSeconds(now - demand.rateUpdated));
+        return demand.callsPerSecond * std::exp(-age / toSeconds(state.options.demandTimeConstant));
     }
 
     [[nodiscard]] unsigned waitingCalls(const DemandState &demand) const
     {
         unsigned count = 0;
         for (const auto &[entry, report] : demand.waiting) {
-            if (now - report.reported <= state.options.waitMemory) {
+            if (now - report.reported <= state.options.waitReportLifetime) {
                 count += report.calls;
             }
         }
@@ -66,7 +66,7 @@
         unsigned count = 0;
         for (const auto &[entry, report] : demand.waiting) {
             // A report that is older than a load says nothing of the objective any more.
-            count += now - report.reported <= state.options.adapterLoad ? report.inTime : 0;
+            count += now - report.reported <= state.options.adapterLoadTime ? report.inTime : 0;
         }
         return count;
     }
@@ -78,9 +78,9 @@
         }));
     }
 
-    [[nodiscard]] bool heldRecently(const EngineState &engine, const AdapterKey &key) const
+    [[nodiscard]] bool isInHostCache(const EngineState &engine, const AdapterKey &key) const
     {
-        return engine.recent.contains(key);
+        return engine.hostCache.contains(key);
     }
 
     [[nodiscard]] bool hasRoom(const EngineState &engine, const catalog::EngineSpec &spec) const
@@ -91,7 +91,7 @@
         double used = 0;
         double adapterMb = 0;
         for (const catalog::BaseModelSpec &model : spec.models) {
-            if (engine.baseModels.contains(model.name) || engine.comingModels.contains(model.name)) {
+            if (engine.baseModels.contains(model.name) || engine.loadingModels.contains(model.name)) {
                 used += model.weightsMb;
             }
             adapterMb = std::max(adapterMb, model.adapterMb);
@@ -108,7 +108,7 @@
         std::optional<AdapterKey> oldest;
         TimePoint lastUse = now - minimumIdle;
         for (const auto &[key, copy] : engine.adapters) {
-            if (copy.isLeaving || copy.readyAt > now || copy.lastUse > lastUse || copy.readyAt > now - minimumIdle) {
+            if (copy.isUnloading || copy.readyAt > now || copy.lastUse > lastUse || copy.readyAt > now - minimumIdle) {
                 continue;
             }
             const auto demand = state.demand.find(key);
@@ -124,23 +124,23 @@
     void send(const std::string &id, EngineState &engine, OrderKind kind, const AdapterKey &key, std::uint64_t version)
     {
         orders.push_back(
-            {id, engine.address, engine.born, kind, key.model, key.adapter, version, *engine.sequence, state.slots.slots[orderSlotOf(id)].fencingNumber});
+            {id, engine.address, engine.born, kind, key.model, key.adapter, version, *engine.sequence, state.slots.slots[orderSlotFor(id)].fencingNumber});
         engine.orderInFlight = true;
         engine.lastOrder = now;
-        state.changed.insert(id);
+        state.changedEngines.insert(id);
     }
 
     void sendAdapterLoad(const std::string &id, EngineState &engine, const AdapterKey &key)
     {
-        const bool isRecent = heldRecently(engine, key) && !engine.adapters.contains(key);
-        Duration time = state.options.recentAdapterLoad;
-        if (!isRecent) {
+        const bool isCached = isInHostCache(engine, key) && !engine.adapters.contains(key);
+        Duration time = state.options.cachedAdapterLoadTime;
+        if (!isCached) {
             ++storeTransfers;
-            time = state.options.adapterLoad * std::max(1U, (storeTransfers + state.storeTransfers - 1) / state.storeTransfers);
+            time = state.options.adapterLoadTime * std::max(1U, (storeTransfers + state.storeTransferLimit - 1) / state.storeTransferLimit);
         }
         const std::uint64_t version = requiredVersion(state, key);
-        engine.adapters[key] = {version, now + time + state.options.loadMargin, now, !isRecent, false, false};
-        noteRecent(state, engine, key);
+        engine.adapters[key] = {version, now + time + state.options.loadMargin, now, !isCached, false, false};
+        touchHostCache(state, engine, key);
         ++usable[key];
         send(id, engine, OrderKind::Load, key, version);
     }
@@ -152,8 +152,8 @@
         if (spec == nullptr || !canOrder(id, engine) || !engine.baseModels.contains(key.model)) {
             return std::nullopt;
         }
-        const bool isRecent = heldRecently(engine, key);
-        if ((!isRecent && storeTransfers >= state.storeTransfers) || transfersTo(engine) >= state.options.transfersPerServer) {
+        const bool isCached = isInHostCache(engine, key);
+        if ((!isCached && storeTransfers >= state.storeTransferLimit) || transfersTo(engine) >= state.options.transfersPerServer) {
             return std::nullopt;
         }
         const bool isFree = hasRoom(engine, *spec);
@@ -163,8 +163,8 @@
         // The hash makes an adapter return to the engine that keeps it in host memory.
         const std::string name = key.model + "/" + key.adapter + "@" + id;
         const double spread = static_cast<double>(XXH3_64bits(name.data(), name.size()) % 1024) / 1024;
-        const double answers = now < engine.unansweredUntil ? unansweredCost : 0;
-        return engine.expectedCalls / state.options.callsPerCopy + (isRecent ? 0 : 2) + (isFree ? 0 : 0.3) + spread + answers;
+        const double answers = now < engine.penalizedUntil ? unansweredCost : 0;
+        return engine.expectedCalls / state.options.callRatePerCopy + (isCached ? 0 : 2) + (isFree ? 0 : 0.3) + spread + answers;
     }
 
     bool place(const AdapterKey &key, const DemandState &demand, Duration minimumIdle)
@@ -178,7 +178,7 @@
             if (const auto copy = engine.adapters.find(key); copy != engine.adapters.end()) {
                 // A new version waits for the calls on the earlier one: another engine has it sooner.
                 const bool isOutdated = copy->second.version < requiredVersion(state, key);
-                if (!isOutdated || copy->second.isLeaving || now - copy->second.lastUse < state.options.minimumIdle) {
+                if (!isOutdated || copy->second.isUnloading || now - copy->second.lastUse < state.options.minimumIdle) {
                     continue;
                 }
             }
@@ -212,8 +212,8 @@
             for (const auto &[key, copy] : engine.adapters) {
                 storeTransfers += copy.isFromStore && copy.readyAt > now ? 1 : 0;
                 // Load pattern: engines leave orders without an answer. Calls that wait for such a copy get one on another engine.
-                const bool isReachable = engine.isReady && now >= engine.suspectUntil && !isUnresolved(engine, key);
-                usable[key] += isReachable && !copy.isLeaving && copy.version >= requiredVersion(state, key) ? 1 : 0;
+                const bool isReachable = engine.isReady && now >= engine.unreachableUntil && !hasUnresolvedOrder(engine, key);
+                usable[key] += isReachable && !copy.isUnloading && copy.version >= requiredVersion(state, key) ? 1 : 0;
             }
         }
     }
@@ -235,20 +235,20 @@
     /** Engines without weights get the base model that is asked for most; the rate of the store bounds how many at once. */
     void loadBaseModels()
     {
-        while (!state.storeLoads.empty() && now - state.storeLoads.front() > storeWindow) {
-            state.storeLoads.pop_front();
+        while (!state.recentWeightLoads.empty() && now - state.recentWeightLoads.front() > storeWindow) {
+            state.recentWeightLoads.pop_front();
         }
         for (auto &[id, engine] : state.engines) {
             const catalog::EngineSpec *spec = specOf(engine);
-            if (spec == nullptr || spec->models.empty() || !canOrder(id, engine) || !engine.baseModels.empty() || !engine.comingModels.empty()) {
+            if (spec == nullptr || spec->models.empty() || !canOrder(id, engine) || !engine.baseModels.empty() || !engine.loadingModels.empty()) {
                 continue;
             }
-            if (static_cast<double>(state.storeLoads.size()) >= spec->storeLoadsPerSecond * toSeconds(storeWindow)) {
+            if (static_cast<double>(state.recentWeightLoads.size()) >= spec->storeLoadsPerSecond * toSeconds(storeWindow)) {
                 return;
             }
             const catalog::BaseModelSpec &model = scarcest(engine.service, *spec);
-            engine.comingModels[model.name] = now + model.loadTime;
-            state.storeLoads.push_back(now);
+            engine.loadingModels[model.name] = now + model.loadTime;
+            state.recentWeightLoads.push_back(now);
             engine.reportDue = now + model.loadTime;
             send(id, engine, OrderKind::Load, {model.name, {}}, 0);
         }
@@ -265,7 +265,7 @@
                 calls += key.model == model.name && demand.service == service ? callsPerSecond(demand) + waitingCalls(demand) : 0;
             }
             const auto holders = std::count_if(state.engines.begin(), state.engines.end(), [&](const auto &item) {
-                return item.second.service == service && (item.second.baseModels.contains(model.name) || item.second.comingModels.contains(model.name));
+                return item.second.service == service && (item.second.baseModels.contains(model.name) || item.second.loadingModels.contains(model.name));
             });
             const double need = calls / static_cast<double>(holders + 1);
             if (need > bestNeed && model.weightsMb <= spec.memoryMb) {
@@ -292,7 +292,7 @@
         std::vector<Wanted> waiting;
         for (const auto &[key, demand] : state.demand) {
             if (!key.adapter.empty() && waitingCalls(demand) > 0 && usableCopies(key) == 0) {
-                waiting.push_back({callsInTime(demand), demand.firstWait, &key});
+                waiting.push_back({callsInTime(demand), demand.waitingSince, &key});
             }
         }
         std::sort(waiting.begin(), waiting.end(), [](const Wanted &left, const Wanted &right) {
@@ -308,16 +308,16 @@
     {
         for (const auto &[key, demand] : state.demand) {
             const unsigned copies = usableCopies(key);
-            if (!key.adapter.empty() && copies > 0 && callsPerSecond(demand) > state.options.callsPerCopy * copies
-                && storeTransfers < state.storeTransfers / 2) {
-                place(key, demand, state.options.replicaIdle);
+            if (!key.adapter.empty() && copies > 0 && callsPerSecond(demand) > state.options.callRatePerCopy * copies
+                && storeTransfers < state.storeTransferLimit / 2) {
+                place(key, demand, state.options.minimumIdleForReplica);
             }
         }
     }
 };
 
 /** Load pattern: a large fleet asks for many rare adapters; a bound for a small store would leave most of its delivery unused. */
-unsigned storeTransfersOf(const PlacementOptions &options, const catalog::CatalogIndex &catalog)
+unsigned storeTransferLimitOf(const PlacementOptions &options, const catalog::CatalogIndex &catalog)
 {
     double loads = 0;
     for (const catalog::ServiceSpec &service : catalog.catalog().services) {
@@ -329,7 +329,7 @@
 void forgetIdleDemand(PlacementState &state, TimePoint now)
 {
     std::erase_if(state.demand, [&state, now](const auto &item) {
-        return item.second.running.empty() && now - item.second.measured > state.options.demandMemory;
+        return item.second.running.empty() && now - item.second.rateUpdated > state.options.demandRetention;
     });
 }
 
@@ -337,13 +337,13 @@
 
 std::vector<ModelOrder> planOrders(PlacementState &state, const catalog::CatalogIndex &catalog, TimePoint now)
 {
-    state.storeTransfers = storeTransfersOf(state.options, catalog);
+    state.storeTransferLimit = storeTransferLimitOf(state.options, catalog);
     Planner planner{state, catalog, now, {}, 0, {}};
     planner.countCopies();
     planner.loadBaseModels();
     planner.placeWaiting();
-    if (now >= state.nextBalance) {
-        state.nextBalance = now + state.options.balanceInterval;
+    if (now >= state.nextRebalance) {
+        state.nextRebalance = now + state.options.rebalanceInterval;
         forgetIdleDemand(state, now);
         planner.countLoad();
         planner.replicate();
--- a/src/routing/poolchoice.cpp
+++ b/src/routing/poolchoice.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct Remotes
+struct PoolSurvey
 {
     std::optional<std::size_t> local;
     Duration localWait = Duration::max();
@@ -28,7 +28,7 @@
 }
 
 /** Handicap of a pool that would have to load the adapter; the same on every instance, so that they agree where it is loaded. */
-Duration homeHandicap(const PoolSummary &pool, AdapterId adapter) noexcept
+Duration placementPenalty(const PoolSummary &pool, AdapterId adapter) noexcept
 {
     if (hasAdapter(pool, adapter)) {
         return Duration::zero();
@@ -36,17 +36,17 @@
     const std::array<std::uint32_t, 2> key{number(adapter), number(pool.pool)};
     constexpr std::uint64_t steps = 1U << 20U;
     const auto step = static_cast<std::int64_t>(XXH3_64bits(key.data(), sizeof key) % steps);
-    return longestHomeHandicap * step / static_cast<std::int64_t>(steps);
+    return maximumPlacementPenalty * step / static_cast<std::int64_t>(steps);
 }
 
 Duration cost(const PoolSummary &pool, AdapterId adapter) noexcept
 {
-    return expectedWait(pool, adapter) + homeHandicap(pool, adapter);
+    return expectedWait(pool, adapter) + placementPenalty(pool, adapter);
 }
 
-Remotes survey(std::span<const PoolSummary> pools, const PoolQuery &query) noexcept
+PoolSurvey surveyPools(std::span<const PoolSummary> pools, const PoolQuery &query) noexcept
 {
-    Remotes result;
+    PoolSurvey result;
     for (std::size_t i = 0; i < pools.size(); ++i) {
         if (!usable(pools[i], query)) {
             continue;
@@ -64,10 +64,10 @@
 }
 
 /** Longest wait that makes a remote pool a candidate of the random choice. */
-Duration longestWait(const Remotes &remotes) noexcept
+Duration remoteWaitLimit(const PoolSurvey &survey) noexcept
 {
-    const Duration limit = remotes.bestRemote + spreadMargin;
-    return remotes.local ? std::min(limit, remotes.localWait - spilloverMargin - Duration(1)) : limit;
+    const Duration limit = survey.bestRemote + spreadMargin;
+    return survey.local ? std::min(limit, survey.localWait - spilloverMargin - Duration(1)) : limit;
 }
 
 /** Weighted random candidate in one pass; independent of earlier picks. */
@@ -94,16 +94,16 @@
     if (pool.totalCapacity == 0 || pool.freeCapacity >= pool.totalCapacity) {
         return Duration::zero();
     }
-    return fullPoolHandicap * (pool.totalCapacity - pool.freeCapacity) / pool.totalCapacity;
+    return fullPoolPenalty * (pool.totalCapacity - pool.freeCapacity) / pool.totalCapacity;
 }
 
 } // namespace
 
 Duration expectedWait(const PoolSummary &pool, AdapterId adapter) noexcept
 {
-    Duration wait = pool.distance + pool.expectedWait + batchSlowdown(pool);
+    Duration wait = pool.roundTrip + pool.expectedWait + batchSlowdown(pool);
     if (!hasAdapter(pool, adapter)) {
-        return wait + pool.expectedLoad;
+        return wait + pool.expectedLoadTime;
     }
     const auto busy = std::lower_bound(pool.busy.begin(), pool.busy.end(), adapter, [](const auto &entry, AdapterId id) {
         return entry.first < id;
@@ -114,14 +114,14 @@
 
 std::optional<PoolChoice> choosePool(std::span<const PoolSummary> pools, const PoolQuery &query, std::mt19937_64 &random)
 {
-    const Remotes remotes = survey(pools, query);
-    if (remotes.candidates == 0) {
+    const PoolSurvey survey = surveyPools(pools, query);
+    if (survey.candidates == 0) {
         return std::nullopt;
     }
-    if (remotes.local && (remotes.bestRemote == Duration::max() || remotes.localWait - remotes.bestRemote <= spilloverMargin)) {
-        return PoolChoice{*remotes.local, PoolReason::Local, remotes.localWait, remotes.candidates};
+    if (survey.local && (survey.bestRemote == Duration::max() || survey.localWait - survey.bestRemote <= spilloverMargin)) {
+        return PoolChoice{*survey.local, PoolReason::Local, survey.localWait, survey.candidates};
     }
-    const Duration limit = longestWait(remotes);
+    const Duration limit = remoteWaitLimit(survey);
     const auto first = pick(pools, query, limit, random);
     const auto second = pick(pools, query, limit, random);
     if (!first || !second) {
@@ -130,8 +130,8 @@
     const Duration firstWait = expectedWait(pools[*first], query.adapter);
     const Duration secondWait = expectedWait(pools[*second], query.adapter);
     const bool takeSecond = secondWait < firstWait;
-    const PoolReason reason = remotes.local ? PoolReason::SpilledOver : PoolReason::LocalAbsent;
-    return PoolChoice{takeSecond ? *second : *first, reason, takeSecond ? secondWait : firstWait, remotes.candidates};
+    const PoolReason reason = survey.local ? PoolReason::SpilledOver : PoolReason::LocalAbsent;
+    return PoolChoice{takeSecond ? *second : *first, reason, takeSecond ? secondWait : firstWait, survey.candidates};
 }
 
 } // namespace mimosahollow::routing
--- a/src/serving/pools.cpp
+++ b/src/serving/pools.cpp
@@ -248,7 +248,7 @@
     summary->reachable = true;
     summary->inService = content.inService;
     summary->expectedWait = content.expectedWait;
-    summary->expectedLoad = content.expectedLoadWait;
+    summary->expectedLoadTime = content.expectedLoadWait;
     summary->freeCapacity = content.freeSlots;
     summary->totalCapacity = content.totalSlots;
     summary->resident = content.adapters;
--- a/src/serving/serving.cpp
+++ b/src/serving/serving.cpp
@@ -63,7 +63,7 @@
         summary.domain = pool.domain;
         summary.owner = pool.owner;
         summary.kind = pool.kind;
-        summary.distance = pool.domain == state.home ? localRoundTrip : remoteRoundTrip;
+        summary.roundTrip = pool.domain == state.home ? localRoundTrip : remoteRoundTrip;
         if (domain == nullptr || domain->outOfService) {
             summary.inService = false; // the owner's next summary says when it is back
         }
--- a/tests/dispatch/dispatch.cpp
+++ b/tests/dispatch/dispatch.cpp
@@ -38,12 +38,12 @@
     state.options.domain = "north";
     state.catalog = std::make_shared<const catalog::CatalogIndex>(std::make_shared<const catalog::Catalog>(std::move(catalog)));
     for (const char *id : {"s1", "s2"}) {
-        noteServer(state, record(id, "chat", 64), start);
+        updateServer(state, record(id, "chat", 64), start);
     }
     for (const char *id : {"s3", "s4"}) {
-        noteServer(state, record(id, "rest", 6), start);
+        updateServer(state, record(id, "rest", 6), start);
     }
-    notePlacement(state, {1, {{"s1", 1, {{"base", "a1", 1, 0}}}, {"s2", 1, {}}}}, start);
+    applyPlacement(state, {1, {{"s1", 1, {{"base", "a1", 1, 0}}}, {"s2", 1, {}}}}, start);
     return state;
 }
 
@@ -86,16 +86,16 @@
 
     SECTION("only at the required version")
     {
-        state.adapterVersions["base/a1"] = 2;
+        state.requiredVersions["base/a1"] = 2;
         CHECK(std::holds_alternative<Wait>(decide(state, modelCall("a1"), start)));
-        notePlacement(state, {1, {{"s2", 1, {{"base", "a1", 2, 0}}}}}, start);
+        applyPlacement(state, {1, {{"s2", 1, {{"base", "a1", 2, 0}}}}}, start);
         const Decision decision = decide(state, modelCall("a1"), start);
         CHECK(sentTo(decision) == "s2");
         CHECK(std::get<Send>(decision).adapterVersion == 2);
     }
     SECTION("once its load has ended")
     {
-        notePlacement(state, {1, {{"s2", 1, {{"base", "a2", 1, 200}}}}}, start);
+        applyPlacement(state, {1, {{"s2", 1, {{"base", "a2", 1, 200}}}}}, start);
         const Decision decision = decide(state, modelCall("a2"), start);
         REQUIRE(std::holds_alternative<Wait>(decision));
         CHECK(std::get<Wait>(decision).until == start + milliseconds(200));
@@ -105,15 +105,15 @@
     {
         registry::ServerRecord draining = record("s1", "chat", 64, 2);
         draining.state = registry::ServerState::Draining;
-        noteServer(state, draining, start);
+        updateServer(state, draining, start);
         CHECK(sentTo(decide(state, modelCall("a1"), start)).empty());
         state.evacuatedDomains.insert("north");
         CHECK(sentTo(decide(state, plainCall(), start)).empty());
     }
     SECTION("not by the word of an earlier leader")
     {
-        notePlacement(state, {2, {{"s1", 1, {}}}}, start);
-        notePlacement(state, {1, {{"s1", 1, {{"base", "a1", 1, 0}}}}}, start);
+        applyPlacement(state, {2, {{"s1", 1, {}}}}, start);
+        applyPlacement(state, {1, {{"s1", 1, {{"base", "a1", 1, 0}}}}}, start);
         CHECK(sentTo(decide(state, modelCall("a1"), start)).empty());
     }
 }
@@ -128,17 +128,17 @@
         if (server.empty()) {
             break;
         }
-        started(state, server, start);
+        callStarted(state, server, start);
         ++sent;
     }
-    CHECK(sent == 2 * (6 + state.options.plainQueue));
+    CHECK(sent == 2 * (6 + state.options.plainQueueLimit));
     const Decision waiting = decide(state, plainCall(), start);
     REQUIRE(std::holds_alternative<Wait>(waiting));
     CHECK(std::get<Wait>(waiting).until <= plainCall().objectiveEnd);
 
     SECTION("a place that becomes free is used")
     {
-        ended(state, "s3", CallResult::Answered, start);
+        callEnded(state, "s3", CallResult::Answered, start);
         CHECK(sentTo(decide(state, plainCall(), start)) == "s3");
     }
     SECTION("near the end of the objective the call is refused with a time to come back")
@@ -154,17 +154,17 @@
 TEST_CASE("A cold backend server gets no more than its share of what it bears")
 {
     DispatchState state = makeState();
-    state.entries = 4;
+    state.entryInstances = 4;
     for (const char *id : {"s1", "s2"}) {
         registry::ServerRecord cold = record(id, "chat", 64, 2);
         cold.coldMilliseconds = 3000;
-        noteServer(state, cold, start);
+        updateServer(state, cold, start);
     }
     unsigned sent = 0;
     for (int call = 0; call < 50; ++call) {
         const std::string server = sentTo(decide(state, modelCall("a1"), start));
         if (!server.empty()) {
-            started(state, server, start);
+            callStarted(state, server, start);
             ++sent;
         }
     }
@@ -178,26 +178,26 @@
 {
     DispatchState state = makeState();
     for (int call = 0; call < 10; ++call) {
-        started(state, "s3", start);
-        ended(state, "s3", call % 2 == 0 ? CallResult::Failed : CallResult::Answered, start);
+        callStarted(state, "s3", start);
+        callEnded(state, "s3", call % 2 == 0 ? CallResult::Failed : CallResult::Answered, start);
     }
     unsigned failing = 0;
     for (int call = 0; call < 3; ++call) {
         const std::string server = sentTo(decide(state, plainCall(), start));
-        started(state, server, start);
+        callStarted(state, server, start);
         failing += server == "s3" ? 1 : 0;
     }
     CHECK(failing == 0);
     for (int call = 0; call < 40; ++call) {
-        started(state, "s3", start);
-        ended(state, "s3", CallResult::Answered, start);
+        callStarted(state, "s3", start);
+        callEnded(state, "s3", CallResult::Answered, start);
     }
-    CHECK(state.servers.at("s3").failureShare < 0.01);
+    CHECK(state.servers.at("s3").failureRate < 0.01);
 
     SECTION("one that refuses connections is left out for a moment")
     {
-        started(state, "s4", start);
-        ended(state, "s4", CallResult::Unreachable, start);
+        callStarted(state, "s4", start);
+        callEnded(state, "s4", CallResult::Unreachable, start);
         CHECK(sentTo(decide(state, plainCall(), start)) == "s3");
     }
 }
@@ -209,16 +209,16 @@
     SECTION("a plain one is another instance, until it announces itself again")
     {
         const std::string first = sentTo(decide(state, plainCall(), start));
-        noteMissing(state, first, plainCall(), start);
+        handleMissingModel(state, first, plainCall(), start);
         for (int i = 0; i < 20; ++i) {
             CHECK(sentTo(decide(state, plainCall(), start)) != first);
         }
-        CHECK(noteServer(state, record(first, "rest", 6, 2), start));
+        CHECK(updateServer(state, record(first, "rest", 6, 2), start));
         CHECK(state.servers.at(first).record.state == registry::ServerState::Ready);
     }
     SECTION("an engine without the base model")
     {
-        noteMissing(state, "s1", modelCall({}), start);
+        handleMissingModel(state, "s1", modelCall({}), start);
         CHECK(sentTo(decide(state, modelCall({}), start)) == "s2");
         CHECK(sentTo(decide(state, modelCall("a1"), start)) == "s1");
     }
@@ -228,18 +228,18 @@
 TEST_CASE("A call that comes before the end of a load is sent there again a little later")
 {
     DispatchState state = makeState();
-    notePlacement(state, {1, {{"s2", 1, {{"base", "a2", 1, 250}}}}}, start);
+    applyPlacement(state, {1, {{"s2", 1, {{"base", "a2", 1, 250}}}}}, start);
     Call call = modelCall("a2");
     const TimePoint expected = start + milliseconds(250);
     REQUIRE(sentTo(decide(state, call, expected)) == "s2");
-    noteMissing(state, "s2", call, expected);
-    call.onlyServer = "s2";
+    handleMissingModel(state, "s2", call, expected);
+    call.pinnedServer = "s2";
     const Decision decision = decide(state, call, expected);
     REQUIRE(std::holds_alternative<Wait>(decision));
     CHECK(sentTo(decide(state, call, std::get<Wait>(decision).until)) == "s2");
     SECTION("but a copy that is gone keeps no call waiting that may go nowhere else")
     {
-        noteMissing(state, "s2", call, start + seconds(3));
+        handleMissingModel(state, "s2", call, start + seconds(3));
         CHECK(std::holds_alternative<Refuse>(decide(state, call, expected)));
     }
 }
@@ -253,11 +253,11 @@
     std::vector<DispatchState> fleet;
     for (unsigned i = 0; i < instances; ++i) {
         DispatchState state = makeState();
-        state.entries = instances;
+        state.entryInstances = instances;
         state.random.seed(i + 1);
         registry::ServerRecord gone = record("s1", "chat", 64, 2);
         gone.state = registry::ServerState::Gone;
-        noteServer(state, gone, start);
+        updateServer(state, gone, start);
         fleet.push_back(std::move(state));
     }
     std::vector<TimePoint> sends;
@@ -268,7 +268,7 @@
         registry::ServerRecord cold = record("s2", "chat", 64, sequence);
         cold.coldMilliseconds = 3000;
         for (DispatchState &state : fleet) {
-            noteServer(state, cold, now);
+            updateServer(state, cold, now);
         }
         for (const TimePoint end = now + milliseconds(2990); now < end; now += milliseconds(10)) {
             for (DispatchState &state : fleet) {
@@ -276,8 +276,8 @@
                 call.arrived = now;
                 call.objectiveEnd = now + milliseconds(600);
                 if (sentTo(decide(state, call, now)) == "s2") {
-                    started(state, "s2", now);
-                    ended(state, "s2", CallResult::Answered, now);
+                    callStarted(state, "s2", now);
+                    callEnded(state, "s2", CallResult::Answered, now);
                     sends.push_back(now);
                 }
             }
--- a/tests/placement/orderslots.cpp
+++ b/tests/placement/orderslots.cpp
@@ -15,10 +15,10 @@
     void lead()
     {
         OrderSlots fresh;
-        fresh.begun = now;
+        fresh.termStart = now;
         fresh.slots = slots.slots;
         for (OrderSlot &slot : fresh.slots) {
-            slot.quietSince = {}; // a leader's own intention, unknown to the next one
+            slot.suspendedSince = {}; // a leader's own intention, unknown to the next one
         }
         slots = std::move(fresh);
     }
@@ -26,7 +26,7 @@
     void hear(std::initializer_list<const char *> names)
     {
         for (const char *name : names) {
-            noteCredit(slots, name, now);
+            recordCredit(slots, name, now);
         }
     }
 
@@ -51,7 +51,7 @@
     {
         unsigned count = 0;
         for (unsigned slot = 0; slot < orderSlotCount; ++slot) {
-            count += takesOrders(slots, slot, now) ? 1 : 0;
+            count += canSendOrders(slots, slot, now) ? 1 : 0;
         }
         return count;
     }
@@ -84,7 +84,7 @@
 
     SECTION("the slots of the lost one get no order and no holder before its lease and the last order on its way are over")
     {
-        const Duration wait = holders.slots.options.creditAge + holders.slots.options.holderSilence;
+        const Duration wait = holders.slots.options.maximumCreditAge + holders.slots.options.reassignmentDelay;
         const TimePoint end = holders.now + wait;
         while (holders.now + milliseconds(100) < end) {
             holders.now += milliseconds(100);
@@ -134,7 +134,7 @@
                 downUntil.at(i) = holders.now + milliseconds(random() % 9000);
             }
             if (holders.now >= downUntil.at(i)) {
-                noteCredit(holders.slots, names.at(i), holders.now);
+                recordCredit(holders.slots, names.at(i), holders.now);
             }
         }
         if (random() % 300 == 0) {
@@ -142,14 +142,14 @@
         }
         holders.assign();
         for (unsigned slot = 0; slot < orderSlotCount; ++slot) {
-            if (!takesOrders(holders.slots, slot, holders.now)) {
+            if (!canSendOrders(holders.slots, slot, holders.now)) {
                 continue;
             }
             const OrderSlot &entry = holders.slots.slots[slot];
             LastOrder &before = last.at(slot);
             if (before.holder != entry.holder && !before.holder.empty()) {
                 ++changes;
-                REQUIRE(holders.now - before.at >= holders.slots.options.holderSilence);
+                REQUIRE(holders.now - before.at >= holders.slots.options.reassignmentDelay);
                 REQUIRE(entry.fencingNumber > before.fencingNumber);
             }
             before = {entry.holder, entry.fencingNumber, holders.now};
--- a/tests/placement/placement.cpp
+++ b/tests/placement/placement.cpp
@@ -29,11 +29,11 @@
 {
     explicit Fleet(unsigned engines, double storeLoadsPerSecond = 2) : catalog(makeCatalog(storeLoadsPerSecond))
     {
-        begin(state, 1, now);
+        beginTerm(state, 1, now);
         for (OrderSlot &slot : state.slots.slots) {
             slot = {"core-1", 1, {}};
         }
-        noteCredit(state.slots, "core-1", now);
+        recordCredit(state.slots, "core-1", now);
         for (unsigned i = 1; i <= engines; ++i) {
             const std::string id = "s" + std::to_string(i);
             registry::ServerRecord record;
@@ -41,7 +41,7 @@
             record.service = "chat";
             record.address = id + ":80";
             record.born = 1;
-            noteServer(state, record, true, now);
+            updateServer(state, record, true, now);
             held[id] = {};
             sequences[id] = 0;
         }
@@ -50,21 +50,21 @@
 
     void readReports()
     {
-        for (const std::string &id : dueReports(state, now)) {
+        for (const std::string &id : takeDueReports(state, now)) {
             ModelReport report;
             report.sequence = sequences[id];
             report.copies.push_back({"base", {}, 1, false});
             for (const std::string &adapter : held[id]) {
                 report.copies.push_back({"base", adapter, 1, false});
             }
-            noteReport(state, id, 1, report, now);
+            applyReport(state, id, 1, report, now);
         }
     }
 
     /** Lets all orders be given and carried out until there are none. */
     void settle()
     {
-        noteCredit(state.slots, "core-1", now);
+        recordCredit(state.slots, "core-1", now);
         for (auto orders = planOrders(state, catalog, now); !orders.empty(); orders = planOrders(state, catalog, now)) {
             for (const ModelOrder &order : orders) {
                 REQUIRE(order.expectedSequence == sequences[order.server]);
@@ -76,15 +76,15 @@
                     held[order.server].erase(order.adapter);
                 }
                 REQUIRE(held[order.server].size() <= adapterSlots);
-                orderAnswered(state, order, order.kind == OrderKind::Load ? OrderOutcome::Accepted : OrderOutcome::AlreadyDone, now);
+                applyOrderReply(state, order, order.kind == OrderKind::Load ? OrderOutcome::Accepted : OrderOutcome::AlreadyDone, now);
             }
         }
     }
 
     void demand(const std::string &adapter, unsigned waiting, unsigned started = 0)
     {
-        noteCredit(state.slots, "core-1", now);
-        noteDemand(state, "entry-1", {"base", adapter}, "chat", {waiting, waiting, started, 0}, now);
+        recordCredit(state.slots, "core-1", now);
+        recordDemand(state, "entry-1", {"base", adapter}, "chat", {waiting, waiting, started, 0}, now);
     }
 
     [[nodiscard]] unsigned copies(const std::string &adapter) const
@@ -114,7 +114,7 @@
         fleet.demand("a" + std::to_string(i), 1);
     }
     fleet.settle();
-    CHECK(fleet.loads == fleet.state.storeTransfers);
+    CHECK(fleet.loads == fleet.state.storeTransferLimit);
     for (int i = 0; i < 30; ++i) {
         CHECK(fleet.copies("a" + std::to_string(i)) <= 1);
     }
@@ -125,7 +125,7 @@
             fleet.demand("a" + std::to_string(i), 1);
         }
         fleet.settle();
-        CHECK(fleet.loads > fleet.state.storeTransfers);
+        CHECK(fleet.loads > fleet.state.storeTransferLimit);
     }
 }
 
@@ -145,14 +145,14 @@
 {
     Fleet fleet(3);
     for (int i = 0; i < 20; ++i) {
-        noteDemand(fleet.state, "entry-1", {"base", "late" + std::to_string(i)}, "chat", {1, 0, 0, 0}, fleet.now);
+        recordDemand(fleet.state, "entry-1", {"base", "late" + std::to_string(i)}, "chat", {1, 0, 0, 0}, fleet.now);
     }
     fleet.now += milliseconds(50);
     for (int i = 0; i < 8; ++i) {
-        noteDemand(fleet.state, "entry-1", {"base", "early" + std::to_string(i)}, "chat", {1, 1, 0, 0}, fleet.now);
+        recordDemand(fleet.state, "entry-1", {"base", "early" + std::to_string(i)}, "chat", {1, 1, 0, 0}, fleet.now);
     }
     // 8 adapters serve calls in time, and as many arrive together: a new one has its place in the second round.
-    CHECK(expectedLoad(fleet.state, fleet.now) == 2 * fleet.state.options.adapterLoad);
+    CHECK(expectedLoadTime(fleet.state, fleet.now) == 2 * fleet.state.options.adapterLoadTime);
     fleet.settle();
     for (int i = 0; i < 8; ++i) {
         CHECK(fleet.copies("early" + std::to_string(i)) == 1);
@@ -170,7 +170,7 @@
     fleet.now += seconds(1);
     fleet.demand("a1", 1);
     REQUIRE(planOrders(fleet.state, fleet.catalog, fleet.now).empty());
-    noteUnreachable(fleet.state, holder, fleet.now);
+    markUnreachable(fleet.state, holder, fleet.now);
     const auto orders = planOrders(fleet.state, fleet.catalog, fleet.now);
     REQUIRE(orders.size() == 1);
     CHECK(orders[0].server != holder);
@@ -197,7 +197,7 @@
     fleet.demand("a1", 1);
     const auto orders = planOrders(fleet.state, fleet.catalog, fleet.now);
     REQUIRE(orders.size() == 1);
-    orderAnswered(fleet.state, orders[0], OrderOutcome::Unknown, fleet.now);
+    applyOrderReply(fleet.state, orders[0], OrderOutcome::Unknown, fleet.now);
     fleet.now += milliseconds(50);
     fleet.demand("a2", 1);
     CHECK(planOrders(fleet.state, fleet.catalog, fleet.now).empty());
@@ -238,12 +238,12 @@
 
     SECTION("until it answers")
     {
-        orderAnswered(fleet.state, orders[0], OrderOutcome::Accepted, fleet.now);
+        applyOrderReply(fleet.state, orders[0], OrderOutcome::Accepted, fleet.now);
         CHECK(ordered.adapters.at(key).isConfirmed);
     }
     SECTION("and without an answer another engine is ordered at once, and first from then on")
     {
-        orderAnswered(fleet.state, orders[0], OrderOutcome::Unknown, fleet.now);
+        applyOrderReply(fleet.state, orders[0], OrderOutcome::Unknown, fleet.now);
         fleet.demand("a1", 1);
         const auto next = planOrders(fleet.state, fleet.catalog, fleet.now);
         REQUIRE(next.size() == 1);
@@ -268,23 +268,23 @@
         order.kind = OrderKind::Load;
         order.model = "base";
         order.adapter = "a2";
-        orderAnswered(fleet.state, order, OrderOutcome::OtherInstance, fleet.now);
+        applyOrderReply(fleet.state, order, OrderOutcome::OtherInstance, fleet.now);
     }
     SECTION("when the state that is read names another start")
     {
-        const auto due = dueReports(fleet.state, fleet.now);
+        const auto due = takeDueReports(fleet.state, fleet.now);
         REQUIRE(std::find(due.begin(), due.end(), holder) != due.end());
         ModelReport report;
         report.born = 2;
         report.copies.push_back({"base", {}, 1, false});
-        noteReport(fleet.state, holder, 1, report, fleet.now);
+        applyReport(fleet.state, holder, 1, report, fleet.now);
     }
     CHECK(fleet.state.engines.at(holder).adapters.empty());
     fleet.demand("a1", 1);
     for (const ModelOrder &order : planOrders(fleet.state, fleet.catalog, fleet.now)) {
         CHECK(order.server != holder);
     }
-    const auto due = dueReports(fleet.state, fleet.now);
+    const auto due = takeDueReports(fleet.state, fleet.now);
     CHECK(std::find(due.begin(), due.end(), holder) == due.end());
 }
 
@@ -297,7 +297,7 @@
         const std::string adapter = "a" + std::to_string(i);
         fleet.demand(adapter, 1);
         fleet.settle();
-        noteDemand(fleet.state, "entry-1", {"base", adapter}, "chat", {0, 0, 1, 1}, fleet.now);
+        recordDemand(fleet.state, "entry-1", {"base", adapter}, "chat", {0, 0, 1, 1}, fleet.now);
     }
     fleet.now += seconds(5);
     fleet.demand("b1", 1);
@@ -305,18 +305,18 @@
 
     SECTION("until the entry instance of its calls is gone")
     {
-        noteEntryGone(fleet.state, "entry-1");
+        removeEntry(fleet.state, "entry-1");
         fleet.demand("b1", 1);
         CHECK(planOrders(fleet.state, fleet.catalog, fleet.now).size() == 1);
     }
     SECTION("until its last call has ended; and while its unload waits for a call that came in between, its place stays taken")
     {
-        noteDemand(fleet.state, "entry-1", {"base", "a2"}, "chat", {0, 0, 0, 0}, fleet.now);
+        recordDemand(fleet.state, "entry-1", {"base", "a2"}, "chat", {0, 0, 0, 0}, fleet.now);
         const auto orders = planOrders(fleet.state, fleet.catalog, fleet.now);
         REQUIRE(orders.size() == 1);
         CHECK(orders[0].kind == OrderKind::Unload);
         CHECK(orders[0].adapter == "a2");
-        orderAnswered(fleet.state, orders[0], OrderOutcome::Accepted, fleet.now);
+        applyOrderReply(fleet.state, orders[0], OrderOutcome::Accepted, fleet.now);
         const auto more = planOrders(fleet.state, fleet.catalog, fleet.now);
         for (const ModelOrder &order : more) {
             CHECK(order.kind == OrderKind::Unload);
@@ -337,11 +337,11 @@
     restarted.service = "chat";
     restarted.address = "s1:80";
     restarted.born = 2;
-    noteServer(fleet.state, restarted, true, fleet.now);
+    updateServer(fleet.state, restarted, true, fleet.now);
     fleet.demand("a1", 1);
     CHECK(planOrders(fleet.state, fleet.catalog, fleet.now).empty());
-    REQUIRE(dueReports(fleet.state, fleet.now).size() == 1);
-    noteReport(fleet.state, "s1", 2, {2, 0, false, {}}, fleet.now);
+    REQUIRE(takeDueReports(fleet.state, fleet.now).size() == 1);
+    applyReport(fleet.state, "s1", 2, {2, 0, false, {}}, fleet.now);
     const auto orders = planOrders(fleet.state, fleet.catalog, fleet.now);
     REQUIRE(orders.size() == 1);
     CHECK(orders[0].adapter.empty()); // its weights first
@@ -356,7 +356,7 @@
     fleet.settle();
     REQUIRE(fleet.copies("a1") == 1);
     fleet.now += seconds(2);
-    fleet.state.namedVersions["base/a1"] = 5;
+    fleet.state.requiredVersions["base/a1"] = 5;
     fleet.demand("a1", 1);
     const auto orders = planOrders(fleet.state, fleet.catalog, fleet.now);
     REQUIRE(orders.size() == 1);
@@ -393,7 +393,7 @@
             } else if (fleet.sequences[order.server] == order.expectedSequence || random() % 10 == 0) {
                 outcome = OrderOutcome::Unknown;
             }
-            orderAnswered(fleet.state, order, outcome, fleet.now);
+            applyOrderReply(fleet.state, order, outcome, fleet.now);
         }
     }
     CHECK(fleet.sequences["s1"] > 5);
--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -105,7 +105,7 @@
     REQUIRE(report->copies.size() == 3);
     CHECK(report->copies[1].adapter == "a3");
     CHECK(report->copies[1].version == 2);
-    CHECK(report->copies[2].isComing);
+    CHECK(report->copies[2].isLoading);
     CHECK_FALSE(decodeReport(R"({"models":[],"sequence":"9"})"));
 
     const std::string order = encodeOrder({"i-1", "10.0.0.9:80", 1, placement::OrderKind::Load, "base", "a3", 2, 9, 41}, "core-1");
--- a/tests/routing/routing.cpp
+++ b/tests/routing/routing.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr OrganisationId owner{1};
-constexpr OrganisationId stranger{2};
+constexpr OrganisationId otherOrganisation{2};
 
 control::Configuration sample()
 {
@@ -21,7 +21,7 @@
     configuration.baseModels = {"base", "large"};
     configuration.adapters = {{AdapterId{1}, "base", "tone", "1", false, {owner}},
                               {AdapterId{2}, "base", "tone", "2", true, {owner}},
-                              {AdapterId{3}, "large", "tone", "1", true, {stranger}},
+                              {AdapterId{3}, "large", "tone", "1", true, {otherOrganisation}},
                               {AdapterId{4}, "base", "draft", "1", false, {owner}}};
     configuration.routes = {{"/registry/", "registry", false, false, seconds(30), {}},
                             {"/registry/open/", "notices", true, true, seconds(30), {}},
@@ -45,8 +45,8 @@
     REQUIRE(adapterOf(resolveModel(index, "base:tone@1", owner)) == 1);
     REQUIRE(adapterOf(resolveModel(index, "base:tone@2", owner)) == 2);
     REQUIRE(adapterOf(resolveModel(index, "base:tone", owner)) == 2);
-    REQUIRE(adapterOf(resolveModel(index, "large:tone", stranger)) == 3);
-    REQUIRE(std::get<Resolution>(resolveModel(index, "base", stranger)).kind == "base");
+    REQUIRE(adapterOf(resolveModel(index, "large:tone", otherOrganisation)) == 3);
+    REQUIRE(std::get<Resolution>(resolveModel(index, "base", otherOrganisation)).kind == "base");
 
     SECTION("unknown parts and an adapter without a default version are refused")
     {
@@ -56,7 +56,7 @@
     }
     SECTION("another organisation may not use the adapter")
     {
-        REQUIRE(std::get<RefusalReason>(resolveModel(index, "base:tone@1", stranger)) == RefusalReason::NotPermitted);
+        REQUIRE(std::get<RefusalReason>(resolveModel(index, "base:tone@1", otherOrganisation)) == RefusalReason::NotPermitted);
     }
     SECTION("an index without a configuration knows nothing")
     {
@@ -100,7 +100,7 @@
     REQUIRE(std::get<RefusalReason>(resolvePath(index, "/registr", owner)) == RefusalReason::UnknownRoute);
     REQUIRE(std::get<RefusalReason>(resolvePath(index, "", owner)) == RefusalReason::UnknownRoute);
     REQUIRE(std::get<RefusalReason>(resolvePath(index, "/registry/x", std::nullopt)) == RefusalReason::InvalidKey);
-    REQUIRE(std::get<RefusalReason>(resolvePath(index, "/registry/owners/x", stranger)) == RefusalReason::NotPermitted);
+    REQUIRE(std::get<RefusalReason>(resolvePath(index, "/registry/owners/x", otherOrganisation)) == RefusalReason::NotPermitted);
     REQUIRE(std::get<Resolution>(resolvePath(index, "/registry/open/x", std::nullopt)).kind == "notices");
 }
 
@@ -115,9 +115,9 @@
         summary.domain = DomainId{domain};
         summary.kind = "base";
         summary.expectedWait = milliseconds(waitMs);
-        summary.expectedLoad = milliseconds(250);
+        summary.expectedLoadTime = milliseconds(250);
         summary.freeCapacity = 8;
-        summary.distance = domain == 1 ? milliseconds(0) : milliseconds(2);
+        summary.roundTrip = domain == 1 ? milliseconds(0) : milliseconds(2);
         summary.resident = {AdapterId{9}};
         return summary;
     };
@@ -129,7 +129,7 @@
 
     SECTION("a gain within the margin stays local")
     {
-        pools[0].expectedWait = milliseconds(22); // 2 ms of distance and the margin of 20 ms
+        pools[0].expectedWait = milliseconds(22); // 2 ms of round trip and the margin of 20 ms
         REQUIRE(choose()->reason == PoolReason::Local);
         pools[0].expectedWait += Duration(1);
         REQUIRE(choose()->reason == PoolReason::SpilledOver);
@@ -145,7 +145,7 @@
             for (PoolSummary &summary : pools) {
                 summary.resident.clear();
                 summary.expectedWait = milliseconds(0);
-                summary.distance = milliseconds(0);
+                summary.roundTrip = milliseconds(0);
             }
             std::map<std::uint32_t, std::set<std::size_t>> chosen;
             for (std::uint32_t id = 1; id <= 200; ++id) {
