--- a/include/mimosahollow/dispatch/call.h
+++ b/include/mimosahollow/dispatch/call.h
@@ -10,7 +10,7 @@
 
 namespace mimosahollow::dispatch {
 
-/** A call as the choice of a backend server sees it. */
+/** Properties of a call that determine the choice of a backend server. */
 struct Call
 {
     std::string id;
@@ -19,17 +19,17 @@
     std::string adapter; /**< Empty for the base model. */
     int priority = 0; /**< 0 is the most urgent. */
     TimePoint arrived{};
-    TimePoint objectiveEnd{}; /**< An answer, or the first event, is on time up to here. */
-    TimePoint deadline{}; /**< The caller or the route wants no answer after this. */
-    std::set<std::string> triedServers; /**< Backend servers that it was sent to. */
-    std::string pinnedServer; /**< It may go to no other one any more; empty: any. */
+    TimePoint objectiveEnd{}; /**< Latest time at which the answer, or the first event of a stream, meets the latency objective. */
+    TimePoint deadline{}; /**< Set by the caller or the route; an answer after it is useless. */
+    std::set<std::string> triedServers; /**< Backend servers to which the call was already sent. */
+    std::string pinnedServer; /**< The only backend server allowed from now on; empty: any. */
 };
 
 enum class RefusalCause : std::uint8_t {
-    NoServer, /**< No backend server of the service takes calls. */
-    NoCapacity, /**< All of them are full. */
-    AdapterNotLoaded, /**< The adapter cannot be loaded in time. */
-    ColdServers, /**< Those that are left are cold and have had what they bear. */
+    NoServer, /**< No backend server of the service accepts calls. */
+    NoCapacity, /**< All backend servers are full. */
+    AdapterNotLoaded, /**< No backend server has the adapter, or it cannot be loaded in time. */
+    ColdServers, /**< The remaining backend servers are cold and have reached their call rate limit. */
 };
 
 [[nodiscard]] std::string_view toString(RefusalCause cause) noexcept;
--- a/include/mimosahollow/dispatch/dispatch.h
+++ b/include/mimosahollow/dispatch/dispatch.h
@@ -9,15 +9,15 @@
 
 namespace mimosahollow::dispatch {
 
-/** Send the call to this backend server now. */
+/** The call is to be sent to this backend server now. */
 struct Send
 {
     std::string server;
     std::string address;
-    std::uint64_t adapterVersion = 0; /**< 0: any. */
+    std::uint64_t adapterVersion = 0; /**< 0: any version. */
 };
 
-/** Nothing can take the call now; ask again at @c until at the latest, or when something has changed. */
+/** No backend server can take the call now. Decide again at @c until or when the state has changed, whichever is first. */
 struct Wait
 {
     RefusalCause cause{};
@@ -28,31 +28,34 @@
 struct Refuse
 {
     RefusalCause cause{};
-    Duration retryAfter{};
+    Duration retryAfter{}; /**< After which a new call may succeed. */
 };
 
 using Decision = std::variant<Send, Wait, Refuse>;
 
-/** Chooses a backend server for @p call. */
+/** Chooses the backend server with the lowest cost for @p call. Counts no call; use callStarted(). */
 [[nodiscard]] Decision decide(DispatchState &state, const Call &call, TimePoint now);
 
-/** A call is sent to @p server; call callEnded() when it is over. */
+/** Counts a call sent to @p server. Each call must be followed by one callEnded(). */
 void callStarted(DispatchState &state, const std::string &server, TimePoint now);
 
 enum class CallResult : std::uint8_t {
     Answered,
-    Failed, /**< The backend server failed the call. */
-    NotRun, /**< It refused the call. */
+    Failed, /**< The backend server accepted the call and failed. */
+    NotRun, /**< The backend server refused the call. */
     Unreachable, /**< No connection could be opened. */
-    Abandoned, /**< The caller left. */
+    Abandoned, /**< The caller disconnected. */
 };
 
 void callEnded(DispatchState &state, const std::string &server, CallResult result, TimePoint now);
 
-/** Takes over a record of a backend server. Returns whether it is newer than the known one. */
+/** Applies the record of a backend server. Returns false, without effect, if the known record is as new or newer. */
 bool updateServer(DispatchState &state, const registry::ServerRecord &record, TimePoint now);
+
+/** Applies the placement that the leader has sent; updates of an earlier term and of other incarnations are ignored. */
 void applyPlacement(DispatchState &state, const fleetlink::PlacementUpdate &update, TimePoint now);
-/** @p server says that it does not hold what @p call needs, or that it is another instance. */
+
+/** Handles the reply of @p server that it does not have the model or adapter of @p call, or that it is another instance. */
 void handleMissingModel(DispatchState &state, const std::string &server, const Call &call, TimePoint now);
 
 } // namespace mimosahollow::dispatch
--- a/include/mimosahollow/placement/orderslots.h
+++ b/include/mimosahollow/placement/orderslots.h
@@ -11,45 +11,45 @@
 
 namespace mimosahollow::placement {
 
-/** Engines are divided into so many slots, each with one holder: the coordinator that sends orders to its engines. */
-constexpr unsigned orderSlotCount = 16; // two to five for each of 3 to 6 coordinators, so that shares differ little
+/** Number of slots into which engines are hashed. Each slot has one holder, the coordinator that sends orders to the engines of the slot. */
+constexpr unsigned orderSlotCount = 16; // 2 to 5 slots for each of 3 to 6 coordinators, which keeps the shares even
 
-/** Slot of the engine with id @p server. */
+/** Order slot of the engine with id @p server. */
 [[nodiscard]] unsigned orderSlotFor(std::string_view server) noexcept;
 
 struct OrderSlotOptions
 {
-    Duration reassignmentDelay = milliseconds(3100); /**< A new holder waits until the earlier one has been silent for its lease of 3 s. */
-    /** A holder sends an order only while the leader has heard it within this time, so an order that was held up on its way is dropped. */
+    Duration reassignmentDelay = milliseconds(3100); /**< A slot is reassigned only after its previous holder has sent nothing for its lease of 3 s. */
+    /** A holder forwards an order only while its last credit is younger than this, so that orders delayed in transit are dropped. */
     Duration maximumCreditAge = milliseconds(1000);
-    Duration contactTimeout = milliseconds(700); /**< A holder that the leader has not heard for so long gets no orders; three of its credits. */
-    Duration firstAssignmentDelay = milliseconds(500); /**< Coordinators that start together connect within this time. */
+    Duration contactTimeout = milliseconds(700); /**< A holder gets no orders once the leader has received no credit for this time, three credit intervals. */
+    Duration firstAssignmentDelay = milliseconds(500); /**< After the term start; coordinators that start together connect within this time. */
 };
 
 struct OrderSlot
 {
-    std::string holder; /**< Empty: nobody yet. */
-    std::uint64_t fencingNumber = 0; /**< Grows with each holder. */
-    TimePoint suspendedSince{}; /**< No orders from then on, since the slot is to change its holder; unset: orders may be sent. */
+    std::string holder; /**< Coordinator; empty while unassigned. */
+    std::uint64_t fencingNumber = 0; /**< Increases with each assignment. */
+    TimePoint suspendedSince{}; /**< No orders are sent from then on, because the slot is to be reassigned; unset: not suspended. */
 };
 
-/** The leader's view of who sends orders. */
+/** Assignment of order slots to coordinators, as the leader sees it. */
 struct OrderSlots
 {
     OrderSlotOptions options;
-    TimePoint termStart{}; /**< Of the leader's term. */
+    TimePoint termStart{}; /**< Start of the leader's term. */
     std::vector<OrderSlot> slots = std::vector<OrderSlot>(orderSlotCount);
-    std::map<std::string, TimePoint, std::less<>> lastHeard; /**< When each coordinator was heard last, by name. */
-    bool assignmentPending = false; /**< A change of holders is under way; the next one waits for it. */
+    std::map<std::string, TimePoint, std::less<>> lastHeard; /**< Time of the last credit of each coordinator, by name. */
+    bool assignmentPending = false; /**< An assignment is being replicated; the next one waits for it. */
 };
 
-/** @p coordinator can send orders; its promise to drop old ones counts from now. */
+/** Records a credit of @p coordinator: it can send orders, and drops those that arrive later than maximumCreditAge after @p now. */
 void recordCredit(OrderSlots &slots, std::string_view coordinator, TimePoint now);
 
-/** Whether orders can be sent to the engines of @p slot. */
+/** Whether the slot has a reachable holder and is not suspended. */
 [[nodiscard]] bool canSendOrders(const OrderSlots &slots, unsigned slot, TimePoint now);
 
-/** A change of holders for the replicated log. */
+/** New holder of slots, for the replicated log. */
 struct SlotAssignment
 {
     std::string holder;
@@ -57,10 +57,10 @@
 };
 
 /**
- * The next change of holders, if one is due.
+ * Returns the next assignment, if one is due. May suspend a slot to even out the shares.
  *
- * Load pattern: the leader is lost at the worst moment. Were it the only holder, no adapter would be loaded for the lease of 3 s, and the
- * backlog would take the store another ten; so the other coordinators hold engines too and go on at the word of the next leader.
+ * Slots are spread over all coordinators so that a leader failure stops orders only to the engines of its own slots. With the leader
+ * as the only holder, no adapter would be loaded for the lease of 3 s, and the weight store would need another 10 s for the backlog.
  */
 [[nodiscard]] std::optional<SlotAssignment> planAssignment(OrderSlots &slots, TimePoint now);
 
--- a/include/mimosahollow/placement/placementstate.h
+++ b/include/mimosahollow/placement/placementstate.h
@@ -17,29 +17,29 @@
 struct PlacementOptions
 {
     /**
-     * Adapters in transit from the store to all engines; beyond it each load takes longer in proportion. The sheets of the deployments name 8 at
-     * 3.2 and 3.9 loads of weights a second, 40 at 20 and 48 at 22.
+     * Adapters in transit from the weight store to all engines; above the limit each load takes proportionally longer. The specifications of
+     * the deployments give a limit of 8 at 3.2 and 3.9 weight loads per second, 40 at 20 and 48 at 22.
      */
     unsigned minimumStoreTransfers = 8;
-    double storeTransfersPerLoadRate = 2; /**< Seconds: adapters in transit for each load of weights a second. */
-    unsigned transfersPerServer = 4; /**< Bound of the engines. */
-    Duration adapterLoadTime = milliseconds(250); /**< From the store, while the store is not overloaded (sheet). */
-    Duration cachedAdapterLoadTime = milliseconds(25); /**< An engine reloads an adapter that it held recently ten times as fast. */
-    Duration loadMargin = milliseconds(8); /**< Time of an order on its way and of a timer. */
-    unsigned hostCacheAdapters = 140; /**< Adapters that an engine keeps in host memory, a little below the 144 of the sheet. */
-    Duration reportInterval = seconds(4); /**< Of reading the state of each engine, to find what the orders do not tell. */
-    Duration unloadingReportInterval = milliseconds(500); /**< Of reading an engine whose unload waits for calls; calls run for seconds. */
-    Duration reportLag = milliseconds(350); /**< A report shows the state of some hundred milliseconds earlier. */
-    double callRatePerCopy = 7; /**< Calls per second of one adapter above which one more copy is made: 7 x 2.5 s fill a quarter of a batch. */
-    Duration minimumIdle = milliseconds(1200); /**< An adapter used later than this is not evicted for a first copy of another. */
+    double storeTransfersPerLoadRate = 2; /**< Adapters in transit per (weight load per second), in seconds. */
+    unsigned transfersPerServer = 4; /**< Concurrent adapter transfers that an engine accepts. */
+    Duration adapterLoadTime = milliseconds(250); /**< From the weight store while it is not overloaded, by specification. */
+    Duration cachedAdapterLoadTime = milliseconds(25); /**< From the host memory of the engine, ten times as fast. */
+    Duration loadMargin = milliseconds(8); /**< Allowance for the transit of an order and for timer delay. */
+    unsigned hostCacheAdapters = 140; /**< Adapters that an engine is assumed to cache in host memory, slightly below the specified 144. */
+    Duration reportInterval = seconds(4); /**< Between reads of an engine's state, which find changes that did not come from orders. */
+    Duration unloadingReportInterval = milliseconds(500); /**< The same while an unload waits for running calls, which take seconds. */
+    Duration reportLag = milliseconds(350); /**< A report may show the state of several hundred milliseconds before. */
+    double callRatePerCopy = 7; /**< Calls per second and copy above which an adapter is replicated: 7/s x 2.5 s per call fill a quarter of a batch. */
+    Duration minimumIdle = milliseconds(1200); /**< Minimum time since the last use of an adapter that is evicted for the first copy of another one. */
     Duration minimumIdleForReplica = seconds(4); /**< The same for a further copy. */
-    Duration waitReportLifetime = milliseconds(1500); /**< For how long a reported wait counts; entry instances report more often while calls wait. */
-    Duration unreachablePeriod = milliseconds(1000); /**< After the report of an entry instance that cannot reach an engine; reports come more often. */
-    /** After an order without an answer; such an engine carries orders out up to 12 s late, and it takes seconds to learn whether it did. */
+    Duration waitReportLifetime = milliseconds(1500); /**< Validity of reported waiting calls; entry instances report more often while calls wait. */
+    Duration unreachablePeriod = milliseconds(1000); /**< After an entry instance fails to connect to an engine; it repeats the report sooner. */
+    /** Penalty period after an order without a reply: the engine may execute it up to 12 s late, and it takes seconds to learn whether it did. */
     Duration unansweredPenaltyTime = seconds(4);
-    Duration demandTimeConstant = seconds(3); /**< Averaging time of the demand. */
-    Duration demandRetention = seconds(12); /**< Demand is forgotten after this; four averaging times leave 2% of it. */
-    Duration rebalanceInterval = milliseconds(250); /**< Load of the engines and further copies are worked out so often. */
+    Duration demandTimeConstant = seconds(3); /**< Of the exponential average of the call rate. */
+    Duration demandRetention = seconds(12); /**< Without a report, demand is dropped after four time constants, when 2% of the rate is left. */
+    Duration rebalanceInterval = milliseconds(250); /**< Between updates of the engines' load and of the number of copies. */
 };
 
 /** Model and adapter; the adapter is empty for the base model. */
@@ -56,73 +56,73 @@
     }
 };
 
-/** One adapter at one engine. */
+/** Copy of an adapter on an engine. */
 struct AdapterCopy
 {
     std::uint64_t version = 0;
-    TimePoint readyAt{}; /**< When its load ends; it can be used from then on. */
+    TimePoint readyAt{}; /**< Expected end of the load, from which on the copy is usable. */
     TimePoint lastUse{};
-    bool isFromStore = false; /**< Its load occupies the weight store until readyAt. */
-    bool isConfirmed = false; /**< The engine has accepted the load, or reports the copy. */
-    bool isUnloading = false; /**< Its unload waits for calls that run on it; it takes its place until then. */
+    bool isFromStore = false; /**< The load uses the weight store until readyAt. */
+    bool isConfirmed = false; /**< The engine has accepted the load or has reported the copy. */
+    bool isUnloading = false; /**< The unload waits for running calls; the copy occupies its slot until then. */
 };
 
-/** An engine as the leader knows it. */
+/** State of an engine as known to the leader. */
 struct EngineState
 {
     std::string service;
     std::string address;
-    std::uint64_t born = 0;
-    bool hasReport = false; /**< Its state was read. */
-    bool isReady = false; /**< Announces itself as ready and is in a domain that may be used. */
+    std::uint64_t born = 0; /**< Start time of the incarnation. */
+    bool hasReport = false; /**< Its state was read at least once. */
+    bool isReady = false; /**< It announces itself as ready, and its failure domain is not evacuated. */
     bool isReplaced = false; /**< Another backend server answers at its address. */
-    std::optional<std::uint64_t> sequence; /**< Unknown before the first report and after an order without an answer. */
+    std::optional<std::uint64_t> sequence; /**< Number of accepted orders; unknown before the first report and after an order without a reply. */
     std::set<std::string> baseModels;
-    std::map<std::string, TimePoint> loadingModels; /**< Base models in load, and when they are expected. */
+    std::map<std::string, TimePoint> loadingModels; /**< Base models being loaded, with the expected end of the load. */
     std::map<AdapterKey, AdapterCopy> adapters;
-    std::map<AdapterKey, std::uint64_t> hostCache; /**< Adapters held recently, and when, as a number that grows. */
-    std::uint64_t hostCacheClock = 0;
-    double expectedCalls = 0; /**< Per second, by the demand for what it holds. */
+    std::map<AdapterKey, std::uint64_t> hostCache; /**< Adapters assumed to be in host memory, with a logical time of last use for LRU eviction. */
+    std::uint64_t hostCacheClock = 0; /**< Last logical time in hostCache. */
+    double expectedCalls = 0; /**< Calls per second, from the demand for its adapters. */
     bool orderInFlight = false;
     bool reportInFlight = false;
-    std::optional<ModelOrder> unresolvedOrder; /**< Order without an answer. */
+    std::optional<ModelOrder> unresolvedOrder; /**< Order without a reply, whose effect is unknown. */
     TimePoint lastOrder{};
     TimePoint reportDue{};
-    TimePoint pausedUntil{}; /**< No orders before, after a conflict. */
-    TimePoint penalizedUntil{}; /**< It left an order without an answer: others are ordered first until then. */
-    TimePoint unreachableUntil{}; /**< An entry instance cannot reach it: its copies do not count before. */
+    TimePoint pausedUntil{}; /**< No orders are sent before, after a conflict or a rejection. */
+    TimePoint penalizedUntil{}; /**< Other engines are preferred until then, after an order without a reply. */
+    TimePoint unreachableUntil{}; /**< Its copies do not count until then, because an entry instance cannot connect to it. */
 };
 
-/** Demand for one adapter over all entry instances. */
+/** Demand for one adapter from all entry instances. */
 struct DemandState
 {
     std::string service;
     struct Wait
     {
         unsigned calls = 0;
-        unsigned inTime = 0; /**< Those that a load can still serve within their objective. */
+        unsigned inTime = 0; /**< Calls that still meet their latency objective if the adapter is loaded now. */
         TimePoint reported{};
     };
     std::map<std::string, Wait> waiting; /**< By entry instance. */
     std::map<std::string, unsigned> running; /**< Calls on engines, by entry instance. */
-    double callsPerSecond = 0;
+    double callsPerSecond = 0; /**< Exponential average at rateUpdated. */
     TimePoint rateUpdated{};
-    TimePoint waitingSince{};
+    TimePoint waitingSince{}; /**< First report of a waiting call after a time without any. */
 };
 
-/** All that the leader knows of engines and adapters. */
+/** State of the placement of adapters on engines, kept by the leader. */
 struct PlacementState
 {
     PlacementOptions options;
     std::uint64_t term = 0; /**< Of the leader. */
     OrderSlots slots;
     TimePoint nextRebalance{};
-    unsigned storeTransferLimit = PlacementOptions{}.minimumStoreTransfers; /**< Adapters that the store delivers at once at full speed. */
+    unsigned storeTransferLimit = PlacementOptions{}.minimumStoreTransfers; /**< Concurrent adapter transfers that the weight store serves at full speed. */
     std::map<std::string, EngineState> engines;
     std::map<AdapterKey, DemandState> demand;
-    std::map<std::string, std::uint64_t> requiredVersions; /**< By "model/adapter". */
-    std::deque<TimePoint> recentWeightLoads; /**< Times of recent loads of weights. */
-    std::set<std::string> changedEngines; /**< Engines whose placement others need to hear. */
+    std::map<std::string, std::uint64_t> requiredVersions; /**< Oldest version that calls may use, by "model/adapter". */
+    std::deque<TimePoint> recentWeightLoads; /**< Start times of recent base model loads. */
+    std::set<std::string> changedEngines; /**< Engines whose placement has changed since the last broadcast. */
 };
 
 } // namespace mimosahollow::placement
