--- a/src/routing/poolchoice.cpp
+++ b/src/routing/poolchoice.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+/** Usable pools, as found in one pass. */
 struct PoolSurvey
 {
     std::optional<std::size_t> local;
@@ -27,7 +28,10 @@
     return adapter == AdapterId{} || std::binary_search(pool.resident.begin(), pool.resident.end(), adapter);
 }
 
-/** Handicap of a pool that would have to load the adapter; the same on every instance, so that they agree where it is loaded. */
+/**
+ * Penalty of a pool that would have to load the adapter. Derived from a hash of adapter and pool, so that all instances prefer
+ * the same pool for the load.
+ */
 Duration placementPenalty(const PoolSummary &pool, AdapterId adapter) noexcept
 {
     if (hasAdapter(pool, adapter)) {
@@ -63,14 +67,14 @@
     return result;
 }
 
-/** Longest wait that makes a remote pool a candidate of the random choice. */
+/** Maximum cost of the remote pools that take part in the random choice. */
 Duration remoteWaitLimit(const PoolSurvey &survey) noexcept
 {
     const Duration limit = survey.bestRemote + spreadMargin;
     return survey.local ? std::min(limit, survey.localWait - spilloverMargin - Duration(1)) : limit;
 }
 
-/** Weighted random candidate in one pass; independent of earlier picks. */
+/** Selects a remote pool with a cost of at most @p limit at random, weighted by free capacity, in one pass. */
 std::optional<std::size_t> pick(std::span<const PoolSummary> pools, const PoolQuery &query, Duration limit, std::mt19937_64 &random)
 {
     std::optional<std::size_t> chosen;
@@ -79,7 +83,7 @@
         if (!usable(pools[i], query) || pools[i].domain == query.local || cost(pools[i], query.adapter) > limit) {
             continue;
         }
-        // A full pool keeps a small weight: its capacity may have become free since the summary.
+        // A full pool keeps a weight of 1, since capacity may have become free after its summary.
         const double weight = static_cast<double>(pools[i].freeCapacity) + 1;
         total += weight;
         if (!chosen || std::uniform_real_distribution<double>(0, total)(random) < weight) {
--- a/src/routing/routingindex.cpp
+++ b/src/routing/routingindex.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-// Marks the entry that a name without a version resolves to.
+// Marks the table entry for a name without a version.
 constexpr std::uint32_t defaultFlag = 0x8000'0000U;
 
-// Distinguishes the hash of a name without a version from the hash of every name with one.
+// Keeps the hash of a name without a version distinct from the hashes of names with one.
 constexpr XXH64_hash_t defaultSalt = 0x6d69'6d6f'7361'6864ULL;
 
 std::uint64_t hashName(std::string_view base, std::string_view adapter, std::string_view version) noexcept
@@ -73,7 +73,7 @@
 {
     const auto &routes = index.configuration->routes;
     std::string_view key = path;
-    // Each step shortens the key: a prefix before the key that does not match shares less than the whole key with it.
+    // The greatest prefix not after the key either matches or shares only a part of the key, which becomes the next, shorter key.
     for (;;) {
         const auto after = std::upper_bound(index.routeOrder.begin(), index.routeOrder.end(), key, [&routes](std::string_view text, std::uint32_t position) {
             return text < routes[position].prefix;
@@ -100,7 +100,7 @@
         return adapter.isDefault;
     }));
     const std::size_t entries = adapters.size() + defaults;
-    // At most four fifths full, so that probe sequences stay short and always end.
+    // A load factor of at most 4/5 keeps probe sequences short and guarantees a free slot that ends them.
     index.adapterSlots.assign(std::bit_ceil(entries + entries / 4 + 2), 0);
     for (std::uint32_t position = 0; position < adapters.size(); ++position) {
         const control::Adapter &adapter = adapters[position];
--- a/tests/routing/routing.cpp
+++ b/tests/routing/routing.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-// Guards against a request that runs on another adapter or version than it asked for (P1), or for the wrong organisation (P3).
+// Guards against a request that runs on another adapter or version than requested (P1), or for an organisation without permission (P3).
 TEST_CASE("Model names resolve to one adapter and version")
 {
     const control::Configuration configuration = sample();
@@ -48,24 +48,24 @@
     REQUIRE(adapterOf(resolveModel(index, "large:tone", otherOrganisation)) == 3);
     REQUIRE(std::get<Resolution>(resolveModel(index, "base", otherOrganisation)).kind == "base");
 
-    SECTION("unknown parts and an adapter without a default version are refused")
+    SECTION("unknown names and adapters without a default version are refused")
     {
         for (const char *name : {"", "other", "base:", "base:tone@", "base:tone@3", "base:none", "base:draft", "large:draft@1", ":tone"}) {
             REQUIRE(std::get<RefusalReason>(resolveModel(index, name, owner)) == RefusalReason::UnknownModel);
         }
     }
-    SECTION("another organisation may not use the adapter")
+    SECTION("an organisation without permission is refused")
     {
         REQUIRE(std::get<RefusalReason>(resolveModel(index, "base:tone@1", otherOrganisation)) == RefusalReason::NotPermitted);
     }
-    SECTION("an index without a configuration knows nothing")
+    SECTION("an index without a configuration refuses everything")
     {
         REQUIRE(std::get<RefusalReason>(resolveModel({}, "base", owner)) == RefusalReason::UnknownModel);
         REQUIRE(std::get<RefusalReason>(resolvePath({}, "/", owner)) == RefusalReason::UnknownRoute);
     }
 }
 
-// Guards against hash collisions and lost entries at the future size.
+// Guards against entries lost to hash collisions at the planned size, and against an index that grows out of proportion.
 TEST_CASE("All of 93,000 adapters are found by version and by default")
 {
     control::Configuration configuration;
@@ -80,12 +80,12 @@
         found += adapterOf(resolveModel(index, name, owner)) == i + 1 && adapterOf(resolveModel(index, name + "@7", owner)) == i + 1 ? 1U : 0U;
     }
     REQUIRE(found == 93'000);
-    // The control state of a follower with 93,000 adapters has 32 MB; the index may take a tenth.
+    // A tenth of the 32 MB that the control state of a follower takes with 93,000 adapters.
     REQUIRE(memoryBytes(index) <= 3'200'000);
 }
 
-// Guards against a shorter prefix that hides a longer one, and against calls without a key on routes that need one.
-TEST_CASE("The longest path prefix decides")
+// Guards against a shorter prefix that hides a longer one, and against calls without a key on routes that require one.
+TEST_CASE("A path resolves to the route with the longest matching prefix")
 {
     const control::Configuration configuration = sample();
     const RoutingIndex index = buildRoutingIndex(configuration);
@@ -104,8 +104,8 @@
     REQUIRE(std::get<Resolution>(resolvePath(index, "/registry/open/x", std::nullopt)).kind == "notices");
 }
 
-// Guards against needless remote work, work for pools that must get none (P8), and all instances moving to the same pool.
-TEST_CASE("The choice of a pool prefers the local failure domain and spreads what spills over")
+// Guards against unnecessary remote calls, calls to pools that must get none (P8), and all instances moving to the same pool.
+TEST_CASE("Pool choice prefers the local failure domain and spreads calls that spill over")
 {
     std::mt19937_64 random(20261204);
     const AdapterId adapter{9};
@@ -129,19 +129,19 @@
 
     SECTION("a gain within the margin stays local")
     {
-        pools[0].expectedWait = milliseconds(22); // 2 ms of round trip and the margin of 20 ms
+        pools[0].expectedWait = milliseconds(22); // round trip of 2 ms plus the margin of 20 ms
         REQUIRE(choose()->reason == PoolReason::Local);
         pools[0].expectedWait += Duration(1);
         REQUIRE(choose()->reason == PoolReason::SpilledOver);
     }
-    SECTION("a load at home counts as wait")
+    SECTION("an adapter load at the local pool counts as wait")
     {
         pools[0].resident.clear();
         REQUIRE(choose()->reason == PoolReason::SpilledOver);
 
         SECTION("and when no pool has the adapter, the instances of all failure domains load it in the same one")
         {
-            // Equal pools but for the handicap, so that the choice does not depend on where the call came in.
+            // The pools differ only in the penalty, so that the choice does not depend on the domain of the call.
             for (PoolSummary &summary : pools) {
                 summary.resident.clear();
                 summary.expectedWait = milliseconds(0);
@@ -153,7 +153,7 @@
                     chosen[id].insert(choosePool(pools, {"base", AdapterId{1000 + id}, DomainId{domain}}, random)->pool);
                 }
             }
-            // Handicaps closer than the margins leave a choice of the local pool or of two remote ones; most adapters have one home.
+            // Penalties that differ by less than the margins allow the local pool or several remote ones; most adapters have one pool.
             const auto oneHome = std::count_if(chosen.begin(), chosen.end(), [](const auto &entry) {
                 return entry.second.size() == 1;
             });
@@ -191,7 +191,7 @@
         }
         REQUIRE(chosen.size() == 4);
         for (const auto &[position, count] : chosen) {
-            // Twice the even share of 85; a herd would give one pool all 340.
+            // Twice the even share of 85; without spreading, one pool would get all 340.
             REQUIRE(count < 170);
         }
     }
