--- a/src/placement/internal.h
+++ b/src/placement/internal.h
@@ -4,7 +4,7 @@
 
 namespace mimosahollow::placement {
 
-/** @p engine holds, or has held just now, the adapter @p key: it reloads it quickly. */
+/** Records the use of adapter @p key on @p engine, which keeps it in host memory; evicts the least recently used one above the limit. */
 void touchHostCache(const PlacementState &state, EngineState &engine, const AdapterKey &key);
 
 } // namespace mimosahollow::placement
--- a/src/placement/orderslots.cpp
+++ b/src/placement/orderslots.cpp
@@ -8,26 +8,29 @@
 
 namespace {
 
-bool isHeard(const OrderSlots &slots, std::string_view coordinator, TimePoint now)
+bool isReachable(const OrderSlots &slots, std::string_view coordinator, TimePoint now)
 {
     const auto found = slots.lastHeard.find(coordinator);
     return found != slots.lastHeard.end() && now - found->second <= slots.options.contactTimeout;
 }
 
-/** From when on @p slot has certainly got no order of its holder. An order that the holder accepts was sent within the age of its credit. */
-TimePoint silentFrom(const OrderSlots &slots, const OrderSlot &slot)
+/**
+ * Time from which on no order of the current holder of @p slot can still arrive. A holder only forwards orders while its credit is
+ * younger than maximumCreditAge.
+ */
+TimePoint earliestReassignment(const OrderSlots &slots, const OrderSlot &slot)
 {
     const auto found = slots.lastHeard.find(slot.holder);
     const TimePoint lastHeard = found == slots.lastHeard.end() ? slots.termStart : std::max(slots.termStart, found->second);
-    const TimePoint quiet = slot.suspendedSince == TimePoint{} ? TimePoint::max() : slot.suspendedSince;
-    return std::min(lastHeard, quiet) + slots.options.maximumCreditAge + slots.options.reassignmentDelay;
+    const TimePoint suspended = slot.suspendedSince == TimePoint{} ? TimePoint::max() : slot.suspendedSince;
+    return std::min(lastHeard, suspended) + slots.options.maximumCreditAge + slots.options.reassignmentDelay;
 }
 
-std::map<std::string_view, unsigned> shares(const OrderSlots &slots, TimePoint now)
+std::map<std::string_view, unsigned> slotCounts(const OrderSlots &slots, TimePoint now)
 {
     std::map<std::string_view, unsigned> counts;
     for (const auto &[name, lastHeard] : slots.lastHeard) {
-        if (isHeard(slots, name, now)) {
+        if (isReachable(slots, name, now)) {
             counts[name] = 0;
         }
     }
@@ -58,12 +61,12 @@
 bool canSendOrders(const OrderSlots &slots, unsigned slot, TimePoint now)
 {
     const OrderSlot &entry = slots.slots.at(slot);
-    return !entry.holder.empty() && entry.suspendedSince == TimePoint{} && isHeard(slots, entry.holder, now);
+    return !entry.holder.empty() && entry.suspendedSince == TimePoint{} && isReachable(slots, entry.holder, now);
 }
 
 std::optional<SlotAssignment> planAssignment(OrderSlots &slots, TimePoint now)
 {
-    auto counts = shares(slots, now);
+    auto counts = slotCounts(slots, now);
     if (counts.empty() || slots.assignmentPending) {
         return std::nullopt;
     }
@@ -73,13 +76,13 @@
     if (isFirst && now - slots.termStart < slots.options.firstAssignmentDelay) {
         return std::nullopt;
     }
-    // Slots without a holder that can send: one assignment a time, to the coordinator with the fewest.
+    // Slots without a reachable holder go to the coordinator with the fewest slots, one assignment at a time.
     const auto emptiest = std::min_element(counts.begin(), counts.end(), fewerSlots);
     const unsigned share = std::max(orderSlotCount / static_cast<unsigned>(counts.size()), emptiest->second + 1);
     SlotAssignment assignment{std::string(emptiest->first), {}};
     for (unsigned number = 0; number < slots.slots.size(); ++number) {
         const OrderSlot &slot = slots.slots[number];
-        const bool isFree = slot.holder.empty() || (!canSendOrders(slots, number, now) && now >= silentFrom(slots, slot));
+        const bool isFree = slot.holder.empty() || (!canSendOrders(slots, number, now) && now >= earliestReassignment(slots, slot));
         if (isFree && emptiest->second + assignment.slots.size() < share) {
             assignment.slots.push_back(number);
         }
@@ -87,12 +90,12 @@
     if (!assignment.slots.empty()) {
         return assignment;
     }
-    // A coordinator that came back takes one slot after the other, each quiet for the lease of its earlier holder.
+    // A returning coordinator gets one slot at a time, each suspended for the lease of its previous holder.
     const auto fullest = std::max_element(counts.begin(), counts.end(), fewerSlots);
-    const bool anyQuiet = std::any_of(slots.slots.begin(), slots.slots.end(), [](const OrderSlot &slot) {
+    const bool anySuspended = std::any_of(slots.slots.begin(), slots.slots.end(), [](const OrderSlot &slot) {
         return slot.suspendedSince != TimePoint{};
     });
-    if (!anyQuiet && fullest->second > emptiest->second + 1) {
+    if (!anySuspended && fullest->second > emptiest->second + 1) {
         const auto slot = std::find_if(slots.slots.begin(), slots.slots.end(), [&fullest](const OrderSlot &entry) {
             return entry.holder == fullest->first;
         });
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-void startOver(EngineState &engine, TimePoint now)
+/** Discards what is known of an engine whose incarnation or address has changed. */
+void resetEngine(EngineState &engine, TimePoint now)
 {
     engine.hasReport = false;
     engine.sequence.reset();
@@ -25,8 +26,8 @@
     engine.pausedUntil = now;
 }
 
-/** The incarnation is gone from its address, though its end was not announced. A later incarnation is announced anew. */
-void noteReplaced(EngineState &engine)
+/** Another incarnation answers at the address, although the end of this one was not announced. The new one will be announced. */
+void markReplaced(EngineState &engine)
 {
     engine.isReplaced = true;
     engine.baseModels.clear();
@@ -34,7 +35,7 @@
     engine.unresolvedOrder.reset();
 }
 
-/** Replaces what is known of @p engine by @p report. */
+/** Replaces the known models and adapters of @p engine by those in @p report. */
 void replaceState(PlacementState &state, EngineState &engine, const ModelReport &report, TimePoint now)
 {
     std::map<AdapterKey, AdapterCopy> adapters;
@@ -100,7 +101,7 @@
         return;
     }
     if (engine.born != record.born || engine.address != record.address) {
-        startOver(engine, now);
+        resetEngine(engine, now);
         state.changedEngines.insert(record.id);
     }
     engine.born = record.born;
@@ -120,10 +121,10 @@
 {
     std::size_t queued = 0;
     for (const auto &[key, demand] : state.demand) {
-        const bool isWaitedFor = std::any_of(demand.waiting.begin(), demand.waiting.end(), [&state, now](const auto &item) {
+        const bool hasWaitingCalls = std::any_of(demand.waiting.begin(), demand.waiting.end(), [&state, now](const auto &item) {
             return item.second.inTime > 0 && now - item.second.reported <= state.options.adapterLoadTime;
         });
-        const bool isQueued = isWaitedFor && std::none_of(state.engines.begin(), state.engines.end(), [&key = key](const auto &item) {
+        const bool isQueued = hasWaitingCalls && std::none_of(state.engines.begin(), state.engines.end(), [&key = key](const auto &item) {
                                   return item.second.adapters.contains(key);
                               });
         queued += isQueued ? 1 : 0;
@@ -192,7 +193,7 @@
     EngineState &engine = found->second;
     engine.reportInFlight = false;
     if (report.born != 0 && report.born != born) {
-        noteReplaced(engine);
+        markReplaced(engine);
         state.changedEngines.insert(server);
         return;
     }
@@ -202,7 +203,7 @@
             engine.reportDue = engine.lastOrder + state.options.reportLag;
             return;
         }
-        // Not carried out yet: the same order is sent again. Its sequence lets only one of the two be carried out.
+        // Not executed yet. The order is planned again with the same sequence, so that the engine executes only one of the two.
         if (report.sequence == engine.unresolvedOrder->expectedSequence) {
             engine.sequence = report.sequence;
             engine.unresolvedOrder.reset();
@@ -218,10 +219,10 @@
         }
     }
     replaceState(state, engine, report, now);
-    const bool anyLeaves = std::any_of(engine.adapters.begin(), engine.adapters.end(), [](const auto &item) {
+    const bool anyUnloading = std::any_of(engine.adapters.begin(), engine.adapters.end(), [](const auto &item) {
         return item.second.isUnloading;
     });
-    engine.reportDue = now + (anyLeaves ? state.options.unloadingReportInterval : state.options.reportInterval);
+    engine.reportDue = now + (anyUnloading ? state.options.unloadingReportInterval : state.options.reportInterval);
     state.changedEngines.insert(server);
 }
 
@@ -249,12 +250,12 @@
             engine.sequence = *engine.sequence + (outcome == OrderOutcome::Accepted || order.kind == OrderKind::Unload ? 1 : 0);
         }
         if (outcome == OrderOutcome::AlreadyDone && order.kind == OrderKind::Load) {
-            // Whether the engine counts an order that changes nothing is not known.
+            // It is unknown whether the engine counts an order without effect, so the sequence is read again.
             engine.sequence.reset();
             engine.reportDue = now + state.options.reportLag;
         }
         if (order.kind == OrderKind::Unload && outcome == OrderOutcome::Accepted) {
-            // It waits for calls that run, keeps its place meanwhile, and refuses new calls.
+            // The unload waits for running calls; until then the adapter occupies its slot and refuses new calls.
             engine.adapters[key].isUnloading = true;
             engine.reportDue = now + state.options.unloadingReportInterval;
         } else if (order.kind == OrderKind::Unload) {
@@ -266,7 +267,7 @@
         }
         break;
     case OrderOutcome::OtherInstance:
-        noteReplaced(engine);
+        markReplaced(engine);
         break;
     case OrderOutcome::Conflict:
     case OrderOutcome::Rejected:
--- a/src/placement/planorders.cpp
+++ b/src/placement/planorders.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/** Longest time over which loads of weights are counted against the rate of the store. */
+/** Window over which base model loads are counted against the rate of the weight store. */
 constexpr Duration storeWindow = seconds(5);
-/** Of an engine that left an order without an answer; above all other parts of the cost, so that it is ordered only when no other can be. */
-constexpr double unansweredCost = 20;
+/** Added after an order without a reply. Exceeds all other parts of the cost, so that the engine gets orders only when no other can. */
+constexpr double unansweredPenaltyCost = 20;
 
 bool hasUnresolvedOrder(const EngineState &engine, const AdapterKey &key)
 {
@@ -30,7 +30,7 @@
     TimePoint now;
     std::vector<ModelOrder> orders;
     unsigned storeTransfers = 0;
-    std::map<AdapterKey, unsigned> usable; // copies that have the required version, loaded or on their way
+    std::map<AdapterKey, unsigned> usable; // copies with the required version, loaded or in transit
 
     [[nodiscard]] const catalog::EngineSpec *specOf(const EngineState &engine) const
     {
@@ -65,7 +65,7 @@
     {
         unsigned count = 0;
         for (const auto &[entry, report] : demand.waiting) {
-            // A report that is older than a load says nothing of the objective any more.
+            // After the time of a load, the count of calls that can still meet their objective is outdated.
             count += now - report.reported <= state.options.adapterLoadTime ? report.inTime : 0;
         }
         return count;
@@ -100,10 +100,10 @@
     }
 
     /**
-     * The adapter that has been idle for longest, if that is at least @p minimumIdle and no call waits for it or runs on it. Load pattern: streams
-     * run for longer than the idle time. An unload in use waits for them, and the engine takes no load in its place.
+     * Least recently used adapter that has been idle for at least @p minimumIdle and has no waiting or running calls. Streams can run for
+     * longer than the idle time; the unload of an adapter in use waits for them, and the engine accepts no load in its slot meanwhile.
      */
-    [[nodiscard]] std::optional<AdapterKey> victim(const EngineState &engine, Duration minimumIdle) const
+    [[nodiscard]] std::optional<AdapterKey> evictionCandidate(const EngineState &engine, Duration minimumIdle) const
     {
         std::optional<AdapterKey> oldest;
         TimePoint lastUse = now - minimumIdle;
@@ -145,7 +145,7 @@
         send(id, engine, OrderKind::Load, key, version);
     }
 
-    /** Cost of a load on @p engine; lower is better, nothing when it cannot take it now. */
+    /** Cost of loading @p key on @p engine; nullopt when the engine cannot load it now. */
     [[nodiscard]] std::optional<double> cost(const std::string &id, const EngineState &engine, const AdapterKey &key, Duration minimumIdle) const
     {
         const catalog::EngineSpec *spec = specOf(engine);
@@ -157,17 +157,18 @@
             return std::nullopt;
         }
         const bool isFree = hasRoom(engine, *spec);
-        if (!isFree && !victim(engine, minimumIdle)) {
+        if (!isFree && !evictionCandidate(engine, minimumIdle)) {
             return std::nullopt;
         }
-        // The hash makes an adapter return to the engine that keeps it in host memory.
+        // The hash makes an adapter return to the same engine, which has it in host memory.
         const std::string name = key.model + "/" + key.adapter + "@" + id;
-        const double spread = static_cast<double>(XXH3_64bits(name.data(), name.size()) % 1024) / 1024;
-        const double answers = now < engine.penalizedUntil ? unansweredCost : 0;
-        return engine.expectedCalls / state.options.callRatePerCopy + (isCached ? 0 : 2) + (isFree ? 0 : 0.3) + spread + answers;
+        const double affinity = static_cast<double>(XXH3_64bits(name.data(), name.size()) % 1024) / 1024;
+        const double unansweredPenalty = now < engine.penalizedUntil ? unansweredPenaltyCost : 0;
+        return engine.expectedCalls / state.options.callRatePerCopy + (isCached ? 0 : 2) + (isFree ? 0 : 0.3) + affinity + unansweredPenalty;
     }
 
-    bool place(const AdapterKey &key, const DemandState &demand, Duration minimumIdle)
+    /** Orders a load of @p key on the engine with the lowest cost, or an unload to make room. Returns false if no engine can take it. */
+    bool loadCopy(const AdapterKey &key, const DemandState &demand, Duration minimumIdle)
     {
         const std::string *best = nullptr;
         double bestCost = 0;
@@ -176,7 +177,7 @@
                 continue;
             }
             if (const auto copy = engine.adapters.find(key); copy != engine.adapters.end()) {
-                // A new version waits for the calls on the earlier one: another engine has it sooner.
+                // A new version waits for the calls on the previous one, so another engine loads it sooner.
                 const bool isOutdated = copy->second.version < requiredVersion(state, key);
                 if (!isOutdated || copy->second.isUnloading || now - copy->second.lastUse < state.options.minimumIdle) {
                     continue;
@@ -195,7 +196,7 @@
         if (engine.adapters.contains(key) || hasRoom(engine, *specOf(engine))) {
             sendAdapterLoad(*best, engine, key);
         } else {
-            send(*best, engine, OrderKind::Unload, *victim(engine, minimumIdle), 0);
+            send(*best, engine, OrderKind::Unload, *evictionCandidate(engine, minimumIdle), 0);
         }
         return true;
     }
@@ -206,19 +207,19 @@
         return found == usable.end() ? 0 : found->second;
     }
 
-    void countCopies()
+    void countUsableCopies()
     {
         for (const auto &[id, engine] : state.engines) {
             for (const auto &[key, copy] : engine.adapters) {
                 storeTransfers += copy.isFromStore && copy.readyAt > now ? 1 : 0;
-                // Load pattern: engines leave orders without an answer. Calls that wait for such a copy get one on another engine.
+                // A copy whose load order got no reply does not count, so that waiting calls get a copy on another engine.
                 const bool isReachable = engine.isReady && now >= engine.unreachableUntil && !hasUnresolvedOrder(engine, key);
                 usable[key] += isReachable && !copy.isUnloading && copy.version >= requiredVersion(state, key) ? 1 : 0;
             }
         }
     }
 
-    void countLoad()
+    void updateExpectedCalls()
     {
         for (auto &[id, engine] : state.engines) {
             engine.expectedCalls = 0;
@@ -232,7 +233,7 @@
         }
     }
 
-    /** Engines without weights get the base model that is asked for most; the rate of the store bounds how many at once. */
+    /** Loads the base model with the highest demand on engines without one, within the rate of the weight store. */
     void loadBaseModels()
     {
         while (!state.recentWeightLoads.empty() && now - state.recentWeightLoads.front() > storeWindow) {
@@ -246,7 +247,7 @@
             if (static_cast<double>(state.recentWeightLoads.size()) >= spec->storeLoadsPerSecond * toSeconds(storeWindow)) {
                 return;
             }
-            const catalog::BaseModelSpec &model = scarcest(engine.service, *spec);
+            const catalog::BaseModelSpec &model = mostNeededModel(engine.service, *spec);
             engine.loadingModels[model.name] = now + model.loadTime;
             state.recentWeightLoads.push_back(now);
             engine.reportDue = now + model.loadTime;
@@ -254,8 +255,8 @@
         }
     }
 
-    /** The model with the most calls for each engine that holds it. */
-    [[nodiscard]] const catalog::BaseModelSpec &scarcest(const std::string &service, const catalog::EngineSpec &spec) const
+    /** Base model with the most calls per engine that holds it. */
+    [[nodiscard]] const catalog::BaseModelSpec &mostNeededModel(const std::string &service, const catalog::EngineSpec &spec) const
     {
         const catalog::BaseModelSpec *best = &spec.models.front();
         double bestNeed = -1;
@@ -276,7 +277,7 @@
         return *best;
     }
 
-    struct Wanted
+    struct WaitingAdapter
     {
         unsigned inTime = 0;
         TimePoint since{};
@@ -284,39 +285,42 @@
     };
 
     /**
-     * First copies for what calls wait for. Where more adapters are waited for than the store delivers, those go first that
-     * serve the most calls in time; in the order of their wait all of them would be late.
+     * Loads first copies of adapters with waiting calls. When the weight store cannot deliver all of them, adapters that serve the most
+     * calls in time go first; in the order of arrival, all of them would be late.
      */
-    void placeWaiting()
+    void loadWaitingAdapters()
     {
-        std::vector<Wanted> waiting;
+        std::vector<WaitingAdapter> waiting;
         for (const auto &[key, demand] : state.demand) {
             if (!key.adapter.empty() && waitingCalls(demand) > 0 && usableCopies(key) == 0) {
                 waiting.push_back({callsInTime(demand), demand.waitingSince, &key});
             }
         }
-        std::sort(waiting.begin(), waiting.end(), [](const Wanted &left, const Wanted &right) {
+        std::sort(waiting.begin(), waiting.end(), [](const WaitingAdapter &left, const WaitingAdapter &right) {
             return left.inTime != right.inTime ? left.inTime > right.inTime : left.since < right.since;
         });
-        for (const Wanted &wanted : waiting) {
-            place(*wanted.key, state.demand[*wanted.key], state.options.minimumIdle);
+        for (const WaitingAdapter &adapter : waiting) {
+            loadCopy(*adapter.key, state.demand[*adapter.key], state.options.minimumIdle);
         }
     }
 
-    /** Further copies where one engine would carry too many calls of one adapter. */
+    /** Loads further copies of adapters whose call rate per copy exceeds the limit. */
     void replicate()
     {
         for (const auto &[key, demand] : state.demand) {
             const unsigned copies = usableCopies(key);
             if (!key.adapter.empty() && copies > 0 && callsPerSecond(demand) > state.options.callRatePerCopy * copies
                 && storeTransfers < state.storeTransferLimit / 2) {
-                place(key, demand, state.options.minimumIdleForReplica);
+                loadCopy(key, demand, state.options.minimumIdleForReplica);
             }
         }
     }
 };
 
-/** Load pattern: a large fleet asks for many rare adapters; a bound for a small store would leave most of its delivery unused. */
+/**
+ * Scales the limit with the delivery rate of the weight store. Large fleets request many rare adapters, and the limit of a small
+ * store would leave most of the delivery rate unused.
+ */
 unsigned storeTransferLimitOf(const PlacementOptions &options, const catalog::CatalogIndex &catalog)
 {
     double loads = 0;
@@ -326,7 +330,7 @@
     return std::max(options.minimumStoreTransfers, static_cast<unsigned>(loads * options.storeTransfersPerLoadRate));
 }
 
-void forgetIdleDemand(PlacementState &state, TimePoint now)
+void dropIdleDemand(PlacementState &state, TimePoint now)
 {
     std::erase_if(state.demand, [&state, now](const auto &item) {
         return item.second.running.empty() && now - item.second.rateUpdated > state.options.demandRetention;
@@ -339,13 +343,13 @@
 {
     state.storeTransferLimit = storeTransferLimitOf(state.options, catalog);
     Planner planner{state, catalog, now, {}, 0, {}};
-    planner.countCopies();
+    planner.countUsableCopies();
     planner.loadBaseModels();
-    planner.placeWaiting();
+    planner.loadWaitingAdapters();
     if (now >= state.nextRebalance) {
         state.nextRebalance = now + state.options.rebalanceInterval;
-        forgetIdleDemand(state, now);
-        planner.countLoad();
+        dropIdleDemand(state, now);
+        planner.updateExpectedCalls();
         planner.replicate();
     }
     return std::move(planner.orders);
--- a/tests/placement/orderslots.cpp
+++ b/tests/placement/orderslots.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-/** A leader and the replicated holders; assignments are committed at once. */
+/** A leader and the replicated slot holders. Assignments are committed immediately. */
 struct Holders
 {
-    void lead()
+    void startTerm()
     {
         OrderSlots fresh;
         fresh.termStart = now;
         fresh.slots = slots.slots;
         for (OrderSlot &slot : fresh.slots) {
-            slot.suspendedSince = {}; // a leader's own intention, unknown to the next one
+            slot.suspendedSince = {}; // not replicated, so unknown to the next leader
         }
         slots = std::move(fresh);
     }
 
-    void hear(std::initializer_list<const char *> names)
+    void receiveCredits(std::initializer_list<const char *> names)
     {
         for (const char *name : names) {
             recordCredit(slots, name, now);
@@ -63,13 +63,14 @@
 
 } // namespace
 
-// Load pattern: the leader is lost while calls wait for adapters. Before, nothing was loaded for 3.9 s (scale-1 of thai-plough).
-TEST_CASE("Engines of reachable holders take orders of a new leader at once")
+// Guards against a stop of adapter loads after a leader failure. With the leader as the only sender of orders, nothing was loaded for 3.9 s
+// while calls waited (scenario scale-1).
+TEST_CASE("A new leader can send orders to the engines of reachable holders immediately")
 {
     Holders holders;
-    holders.lead();
+    holders.startTerm();
     holders.now += seconds(1);
-    holders.hear({"core-1", "core-2", "core-3"});
+    holders.receiveCredits({"core-1", "core-2", "core-3"});
     holders.assign();
     for (const char *name : {"core-1", "core-2", "core-3"}) {
         CHECK(holders.share(name) >= 5);
@@ -77,46 +78,46 @@
     REQUIRE(holders.usable() == orderSlotCount);
 
     holders.now += seconds(10);
-    holders.lead(); // core-1 led and is gone
-    holders.hear({"core-2", "core-3"});
+    holders.startTerm(); // core-1 was the leader and has failed
+    holders.receiveCredits({"core-2", "core-3"});
     const unsigned lost = holders.share("core-1");
     CHECK(holders.usable() == orderSlotCount - lost);
 
-    SECTION("the slots of the lost one get no order and no holder before its lease and the last order on its way are over")
+    SECTION("slots of the failed holder get no orders and no new holder until its lease has expired and no order can be in transit")
     {
         const Duration wait = holders.slots.options.maximumCreditAge + holders.slots.options.reassignmentDelay;
         const TimePoint end = holders.now + wait;
         while (holders.now + milliseconds(100) < end) {
             holders.now += milliseconds(100);
-            holders.hear({"core-2", "core-3"});
+            holders.receiveCredits({"core-2", "core-3"});
             holders.assign();
             REQUIRE(holders.share("core-1") == lost);
             REQUIRE(holders.usable() == orderSlotCount - lost);
         }
         holders.now = end;
-        holders.hear({"core-2", "core-3"});
+        holders.receiveCredits({"core-2", "core-3"});
         holders.assign();
         CHECK(holders.share("core-1") == 0);
         CHECK(holders.usable() == orderSlotCount);
     }
-    SECTION("one that comes back in time goes on")
+    SECTION("a holder that returns before that keeps its slots")
     {
         holders.now += seconds(2);
-        holders.hear({"core-1", "core-2", "core-3"});
+        holders.receiveCredits({"core-1", "core-2", "core-3"});
         holders.assign();
         CHECK(holders.share("core-1") == lost);
         CHECK(holders.usable() == orderSlotCount);
     }
 }
 
-// Guards against two machines that order one engine within the lease, and against numbers that do not grow.
-TEST_CASE("Whatever fails, a slot changes its holder only after the lease of the earlier one")
+// Guards against two coordinators that send orders to one engine within a lease, and against fencing numbers that do not increase.
+TEST_CASE("Under random failures, a slot is reassigned only after the lease of its previous holder")
 {
     const auto seed = GENERATE(range(1U, 21U));
     INFO("seed " << seed);
     std::minstd_rand random(seed);
     Holders holders;
-    holders.lead();
+    holders.startTerm();
     constexpr std::array<const char *, 5> names{"core-1", "core-2", "core-3", "core-4", "core-5"};
     std::array<TimePoint, 5> downUntil{};
     struct LastOrder
@@ -138,7 +139,7 @@
             }
         }
         if (random() % 300 == 0) {
-            holders.lead();
+            holders.startTerm();
         }
         holders.assign();
         for (unsigned slot = 0; slot < orderSlotCount; ++slot) {
--- a/tests/placement/placement.cpp
+++ b/tests/placement/placement.cpp
@@ -24,7 +24,7 @@
     return catalog::CatalogIndex(std::make_shared<const catalog::Catalog>(std::move(catalog)));
 }
 
-/** Leader and engines; orders are carried out by the engines at once, loads take their time. */
+/** A leader and its engines. Engines execute orders immediately; loads take time. */
 struct Fleet
 {
     explicit Fleet(unsigned engines, double storeLoadsPerSecond = 2) : catalog(makeCatalog(storeLoadsPerSecond))
@@ -61,8 +61,8 @@
         }
     }
 
-    /** Lets all orders be given and carried out until there are none. */
-    void settle()
+    /** Plans and executes orders until none are left. */
+    void executeOrders()
     {
         recordCredit(state.slots, "core-1", now);
         for (auto orders = planOrders(state, catalog, now); !orders.empty(); orders = planOrders(state, catalog, now)) {
@@ -106,42 +106,43 @@
 
 } // namespace
 
-// Load pattern: rare adapters are asked for at once, more of them than there are places.
-TEST_CASE("Adapters that calls wait for are loaded once each, within the places of the engines")
+// Guards against duplicate loads and overfilled engines when more rare adapters are requested at once than there are adapter slots.
+TEST_CASE("Each adapter with waiting calls is loaded once, within the adapter slots of the engines")
 {
     Fleet fleet(3);
     for (int i = 0; i < 30; ++i) {
         fleet.demand("a" + std::to_string(i), 1);
     }
-    fleet.settle();
+    fleet.executeOrders();
     CHECK(fleet.loads == fleet.state.storeTransferLimit);
     for (int i = 0; i < 30; ++i) {
         CHECK(fleet.copies("a" + std::to_string(i)) <= 1);
     }
-    SECTION("the next ones follow when the first have arrived")
+    SECTION("further adapters are loaded after the first loads have ended")
     {
         fleet.now += seconds(2);
         for (int i = 8; i < 30; ++i) {
             fleet.demand("a" + std::to_string(i), 1);
         }
-        fleet.settle();
+        fleet.executeOrders();
         CHECK(fleet.loads > fleet.state.storeTransferLimit);
     }
 }
 
-// Load pattern: sixty engines and 10,000 adapters; with the bound of a small store, a fifth of its delivery was used and calls were refused.
-TEST_CASE("A store that delivers more weights a second delivers more adapters at once")
+// Guards against a transfer limit that does not scale: with 60 engines and 10,000 adapters, the limit of a small store used a fifth of the
+// delivery rate, and calls were refused.
+TEST_CASE("The transfer limit grows with the delivery rate of the weight store")
 {
     Fleet fleet(12, 22);
     for (int i = 0; i < 60; ++i) {
         fleet.demand("a" + std::to_string(i), 1);
     }
-    fleet.settle();
+    fleet.executeOrders();
     CHECK(fleet.loads == 44);
 }
 
-// Load pattern: more adapters are waited for than the store delivers within an objective.
-TEST_CASE("Adapters that serve calls in time go before those whose calls are late already")
+// Guards against loading in order of arrival when the store cannot deliver all adapters within the objective: every call would be late.
+TEST_CASE("Adapters whose calls can still be on time are loaded before those whose calls are late")
 {
     Fleet fleet(3);
     for (int i = 0; i < 20; ++i) {
@@ -151,20 +152,20 @@
     for (int i = 0; i < 8; ++i) {
         recordDemand(fleet.state, "entry-1", {"base", "early" + std::to_string(i)}, "chat", {1, 1, 0, 0}, fleet.now);
     }
-    // 8 adapters serve calls in time, and as many arrive together: a new one has its place in the second round.
+    // 8 adapters serve calls in time and use all 8 transfers, so that a new one is loaded in the second round.
     CHECK(expectedLoadTime(fleet.state, fleet.now) == 2 * fleet.state.options.adapterLoadTime);
-    fleet.settle();
+    fleet.executeOrders();
     for (int i = 0; i < 8; ++i) {
         CHECK(fleet.copies("early" + std::to_string(i)) == 1);
     }
 }
 
-// Load pattern: an engine crashes with the only copy of an adapter, and its calls and streams need another one at once.
-TEST_CASE("A copy on an engine that cannot be reached does not count")
+// Guards against calls that wait for the only copy of an adapter after its engine has crashed; they need another copy immediately.
+TEST_CASE("A copy on an unreachable engine does not count")
 {
     Fleet fleet(2);
     fleet.demand("a1", 1);
-    fleet.settle();
+    fleet.executeOrders();
     REQUIRE(fleet.copies("a1") == 1);
     const std::string holder = fleet.held["s1"].contains("a1") ? "s1" : "s2";
     fleet.now += seconds(1);
@@ -176,22 +177,22 @@
     CHECK(orders[0].server != holder);
 }
 
-// Load pattern: one adapter takes most of the calls.
-TEST_CASE("A popular adapter gets more copies, an idle one gives its place")
+// Guards against an overloaded engine when one adapter receives most of the calls.
+TEST_CASE("A popular adapter is replicated, and an idle one is evicted")
 {
     Fleet fleet(3);
     fleet.demand("a1", 1);
-    fleet.settle();
+    fleet.executeOrders();
     for (int step = 0; step < 60; ++step) {
         fleet.now += milliseconds(100);
         fleet.demand("a1", 0, 3);
-        fleet.settle();
+        fleet.executeOrders();
     }
     CHECK(fleet.copies("a1") == 3);
 }
 
-// Guards against more adapters than places when an order without an answer is carried out late.
-TEST_CASE("An order without an answer keeps its place until a report resolves it")
+// Guards against more adapters than slots when an order without a reply is executed late.
+TEST_CASE("An order without a reply keeps its adapter slot until a report resolves it")
 {
     Fleet fleet(1);
     fleet.demand("a1", 1);
@@ -202,16 +203,16 @@
     fleet.demand("a2", 1);
     CHECK(planOrders(fleet.state, fleet.catalog, fleet.now).empty());
 
-    SECTION("it was carried out")
+    SECTION("the order was executed")
     {
         fleet.sequences["s1"] = 1;
         fleet.held["s1"] = {"a1"};
         fleet.now += milliseconds(400);
         fleet.readReports();
-        fleet.settle();
+        fleet.executeOrders();
         CHECK(fleet.held["s1"] == std::set<std::string>{"a1", "a2"});
     }
-    SECTION("it was not, and the next order takes its number")
+    SECTION("the order was not executed, and the next order reuses its sequence")
     {
         fleet.now += milliseconds(400);
         fleet.readReports();
@@ -220,13 +221,13 @@
         fleet.demand("a2", 1);
         const auto next = planOrders(fleet.state, fleet.catalog, fleet.now);
         REQUIRE(next.size() == 1);
-        CHECK(next[0].expectedSequence == 0); // the late order is refused once this one is accepted
+        CHECK(next[0].expectedSequence == 0); // once this order is accepted, the late one is refused
     }
 }
 
-// Load pattern: engines leave orders without an answer while calls wait for the adapter. In scale-1 of thai-plough-grown, 4,373 calls were sent
-// to engines that did not hold their adapter.
-TEST_CASE("A load that the engine has not accepted is not counted on")
+// Guards against calls sent to an engine whose load order got no reply. In scenario scale-1, 4,373 calls went to engines without their
+// adapter.
+TEST_CASE("A load is unconfirmed until the engine accepts it")
 {
     Fleet fleet(2);
     fleet.demand("a1", 1);
@@ -236,12 +237,12 @@
     const EngineState &ordered = fleet.state.engines.at(orders[0].server);
     CHECK_FALSE(ordered.adapters.at(key).isConfirmed);
 
-    SECTION("until it answers")
+    SECTION("an accepted order confirms the copy")
     {
         applyOrderReply(fleet.state, orders[0], OrderOutcome::Accepted, fleet.now);
         CHECK(ordered.adapters.at(key).isConfirmed);
     }
-    SECTION("and without an answer another engine is ordered at once, and first from then on")
+    SECTION("without a reply, another engine gets the order immediately and is preferred")
     {
         applyOrderReply(fleet.state, orders[0], OrderOutcome::Unknown, fleet.now);
         fleet.demand("a1", 1);
@@ -252,15 +253,15 @@
     }
 }
 
-// Guards against orders and calls to an address that another engine has taken over before the end of the earlier one was noticed.
-TEST_CASE("An engine whose address answers for another one is given up")
+// Guards against orders and calls to an address that another engine took over before the failure of the previous one was detected.
+TEST_CASE("An engine is abandoned when another one answers at its address")
 {
     Fleet fleet(2);
     fleet.demand("a1", 1);
-    fleet.settle();
+    fleet.executeOrders();
     const std::string holder = fleet.held["s1"].contains("a1") ? "s1" : "s2";
     fleet.now += seconds(5);
-    SECTION("when an order is refused")
+    SECTION("detected by a refused order")
     {
         ModelOrder order;
         order.server = holder;
@@ -270,7 +271,7 @@
         order.adapter = "a2";
         applyOrderReply(fleet.state, order, OrderOutcome::OtherInstance, fleet.now);
     }
-    SECTION("when the state that is read names another start")
+    SECTION("detected by a report with another start time")
     {
         const auto due = takeDueReports(fleet.state, fleet.now);
         REQUIRE(std::find(due.begin(), due.end(), holder) != due.end());
@@ -288,28 +289,28 @@
     CHECK(std::find(due.begin(), due.end(), holder) == due.end());
 }
 
-// Load pattern: streams run for seconds on adapters that get no further calls, while others are asked for. In scale-1 of thai-plough an
-// engine was ordered to drop an adapter in use six times in two seconds and refused every load behind it.
+// Guards against unloading an adapter with running streams but no new calls. In scenario scale-1, an engine was ordered to unload an adapter
+// in use six times in two seconds and refused every load after it.
 TEST_CASE("An adapter in use keeps its place")
 {
     Fleet fleet(1);
     for (unsigned i = 1; i <= adapterSlots; ++i) {
         const std::string adapter = "a" + std::to_string(i);
         fleet.demand(adapter, 1);
-        fleet.settle();
+        fleet.executeOrders();
         recordDemand(fleet.state, "entry-1", {"base", adapter}, "chat", {0, 0, 1, 1}, fleet.now);
     }
     fleet.now += seconds(5);
     fleet.demand("b1", 1);
     CHECK(planOrders(fleet.state, fleet.catalog, fleet.now).empty());
 
-    SECTION("until the entry instance of its calls is gone")
+    SECTION("it can be evicted after the entry instance of its calls has left")
     {
         removeEntry(fleet.state, "entry-1");
         fleet.demand("b1", 1);
         CHECK(planOrders(fleet.state, fleet.catalog, fleet.now).size() == 1);
     }
-    SECTION("until its last call has ended; and while its unload waits for a call that came in between, its place stays taken")
+    SECTION("it can be evicted after its last call has ended; its slot stays occupied while the unload waits for a call that has started since")
     {
         recordDemand(fleet.state, "entry-1", {"base", "a2"}, "chat", {0, 0, 0, 0}, fleet.now);
         const auto orders = planOrders(fleet.state, fleet.catalog, fleet.now);
@@ -326,12 +327,12 @@
     }
 }
 
-// Guards against orders to an engine of an earlier incarnation and against what is known of it.
-TEST_CASE("A restarted engine is read anew before it gets orders")
+// Guards against orders to an earlier incarnation of an engine and against state kept from it.
+TEST_CASE("A restarted engine gets no orders before its state has been read")
 {
     Fleet fleet(1);
     fleet.demand("a1", 1);
-    fleet.settle();
+    fleet.executeOrders();
     registry::ServerRecord restarted;
     restarted.id = "s1";
     restarted.service = "chat";
@@ -344,16 +345,16 @@
     applyReport(fleet.state, "s1", 2, {2, 0, false, {}}, fleet.now);
     const auto orders = planOrders(fleet.state, fleet.catalog, fleet.now);
     REQUIRE(orders.size() == 1);
-    CHECK(orders[0].adapter.empty()); // its weights first
+    CHECK(orders[0].adapter.empty()); // the base model is loaded first
     CHECK(orders[0].born == 2);
 }
 
-// Guards against calls on an earlier version after a newer one was named.
-TEST_CASE("A newer version of an adapter is loaded where calls wait for it")
+// Guards against calls on an earlier version after a newer one is required.
+TEST_CASE("A newer version of an adapter is loaded when calls wait for it")
 {
     Fleet fleet(2);
     fleet.demand("a1", 1);
-    fleet.settle();
+    fleet.executeOrders();
     REQUIRE(fleet.copies("a1") == 1);
     fleet.now += seconds(2);
     fleet.state.requiredVersions["base/a1"] = 5;
@@ -364,8 +365,8 @@
     CHECK(orders[0].version == 5);
 }
 
-// Property: whatever the demand, the answers and their order, no engine is ever ordered to hold more than its places.
-TEST_CASE("Random demand and lost answers never overfill an engine")
+// Property: for any demand and any order replies, no engine is ordered to hold more adapters than it has slots.
+TEST_CASE("Random demand and lost replies never overfill an engine")
 {
     const auto seed = GENERATE(range(1U, 21U));
     std::minstd_rand random(seed);
@@ -376,8 +377,8 @@
         fleet.demand("a" + std::to_string(random() % 40), static_cast<unsigned>(random() % 3), static_cast<unsigned>(random() % 2));
         fleet.readReports();
         for (const ModelOrder &order : planOrders(fleet.state, fleet.catalog, fleet.now)) {
-            const bool isCarriedOut = order.expectedSequence == fleet.sequences[order.server];
-            if (isCarriedOut && random() % 10 != 0) {
+            const bool isExecuted = order.expectedSequence == fleet.sequences[order.server];
+            if (isExecuted && random() % 10 != 0) {
                 ++fleet.sequences[order.server];
                 auto &held = fleet.held[order.server];
                 if (order.kind == OrderKind::Load) {
@@ -388,7 +389,7 @@
                 REQUIRE(held.size() <= adapterSlots);
             }
             OrderOutcome outcome = order.kind == OrderKind::Load ? OrderOutcome::Accepted : OrderOutcome::AlreadyDone;
-            if (!isCarriedOut) {
+            if (!isExecuted) {
                 outcome = OrderOutcome::Conflict;
             } else if (fleet.sequences[order.server] == order.expectedSequence || random() % 10 == 0) {
                 outcome = OrderOutcome::Unknown;
