--- a/src/dispatch/dispatch.cpp
+++ b/src/dispatch/dispatch.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr double failureSmoothing = 0.15; // weight of the newest call: about seven calls decide
-constexpr Duration coldWindow = seconds(1); // the cold rate is per second
-constexpr Duration recheck = milliseconds(100); // bounds a wait when no event ends it
-constexpr Duration shortRetry = milliseconds(250); // a few answers of a plain service
-constexpr Duration adapterRetry = milliseconds(800); // three loads from the store
-/** A load that ends later than expected: more adapters are in transit than the leader counts. A quarter of a load. */
-constexpr Duration lateLoad = milliseconds(60);
-constexpr Duration lateLoadLimit = milliseconds(1000); // a copy that is missing so long after its load is gone
-constexpr Duration longRetry = milliseconds(1000); // without a server, an announcement or a restart is needed
+constexpr double failureSmoothing = 0.15; // weight of the newest call: the average covers about seven calls
+constexpr Duration coldWindow = seconds(1); // the call rate of a cold backend server is per second
+constexpr Duration recheckInterval = milliseconds(100); // maximum time until the next decision when no event triggers one
+constexpr Duration shortRetry = milliseconds(250); // a few service times of a plain service
+constexpr Duration adapterRetry = milliseconds(800); // three adapter loads from the weight store
+/** Added to the expected end of a late load, a quarter of a load. Loads are late when more adapters are in transit than the leader counts. */
+constexpr Duration lateLoadExtension = milliseconds(60);
+constexpr Duration lateLoadLimit = milliseconds(1000); // a copy still missing this long after its expected load is gone
+constexpr Duration longRetry = milliseconds(1000); // without a backend server, only an announcement or a restart helps
 
-/** Whether @p server may get calls at all. */
+/** Whether @p server may receive @p call, regardless of its load and its adapters. */
 bool isUsable(const DispatchState &state, const ServerView &server, const Call &call, TimePoint now)
 {
     return server.record.state == registry::ServerState::Ready && server.record.service == call.service
@@ -25,6 +25,7 @@
            && now >= server.avoidUntil && !call.triedServers.contains(server.record.id);
 }
 
+/** Maximum number of concurrent calls sent to @p server. */
 unsigned capacity(const DispatchState &state, const ServerView &server, bool isEngine)
 {
     if (isEngine) {
@@ -34,9 +35,9 @@
 }
 
 /**
- * Share of this instance in the cold rate. Load pattern: a backend server returns cold while all instances wait for one. In a large fleet the
- * share is below one call a second; each instance then takes its turn at a random time, since one call a second of each of 58 is three times
- * what the backend server bears.
+ * Whether this instance may send another call to a cold server within its share of the cold call rate. The limit matters when a backend
+ * server returns cold while all instances have waiting calls. In a large fleet the share is below one call per second; each instance then
+ * starts at a random time, since one call per second from each of 58 instances is three times the permitted rate.
  */
 bool acceptsColdCall(DispatchState &state, ServerView &server, const catalog::ServiceSpec &service, TimePoint now)
 {
@@ -54,6 +55,7 @@
     return now >= server.firstColdSend && static_cast<double>(server.coldSends.size()) + 1 <= std::max(1.0, share);
 }
 
+/** Copy that can serve a call, on a backend server. */
 struct Candidate
 {
     ServerView *server = nullptr;
@@ -61,7 +63,7 @@
     TimePoint readyAt{};
 };
 
-/** The copy of the adapter, or of the base model, that @p call needs at @p server. */
+/** Finds the copy of the adapter or base model that @p call needs on @p server; nullopt if there is none of the required version. */
 std::optional<Candidate> findCopy(ServerView &server, const Call &call, std::uint64_t requiredVersion)
 {
     if (call.model.empty()) {
@@ -80,23 +82,24 @@
     return Candidate{&server, requiredVersion == 0 ? 0 : copy->second.version, copy->second.readyAt};
 }
 
-/** Oldest version of its adapter on which @p call may run; 0 when any will do. */
+/** Oldest version of its adapter that @p call may use; 0: any version. */
 std::uint64_t requiredVersion(const DispatchState &state, const Call &call)
 {
     const auto found = call.adapter.empty() ? state.requiredVersions.end() : state.requiredVersions.find(call.model + "/" + call.adapter);
     return found == state.requiredVersions.end() ? 0 : found->second;
 }
 
+/** Cost of sending a call to @p server, in batches; the server with the lowest cost is chosen. */
 double cost(DispatchState &state, const ServerView &server)
 {
     const double load = (server.running + server.othersRunning + 1.0) / std::max(1U, server.record.slots);
     const double distance = server.record.domain == state.options.domain ? 0 : state.options.otherDomainCost;
-    // Instances that see the same counts must not all choose the same server.
+    // Random noise keeps instances with the same counts from all choosing the same server.
     const double noise = std::uniform_real_distribution<double>(0, 0.03)(state.random);
     return load + distance + noise + server.failureRate * state.options.failureCost;
 }
 
-/** @p share of the objective of @p call after its arrival, at most its deadline. */
+/** Time at which @p share of the latency objective of @p call has passed, but no later than its deadline. */
 TimePoint waitLimit(const Call &call, double share)
 {
     const auto part = std::chrono::duration_cast<Duration>((call.objectiveEnd - call.arrived) * share);
@@ -104,8 +107,8 @@
 }
 
 /**
- * Load pattern: calls of rare adapters, more than the store delivers. A call waits when its adapter is due before the end of
- * its patience, and is refused at once otherwise, with the time after which the adapter can be there.
+ * Lets a call wait if its adapter is expected before the wait limit, and otherwise refuses it immediately with the time after which the
+ * adapter can be loaded. Refusals occur when calls need more rare adapters than the weight store delivers.
  */
 Decision waitForAdapter(const DispatchState &state, const Call &call, TimePoint readyAt, TimePoint now)
 {
@@ -116,14 +119,15 @@
         }
         return Refuse{RefusalCause::AdapterNotLoaded, readyAt - now};
     }
-    // The estimate holds for a call that has just arrived; one that waits already is nearer to its turn.
-    const bool isNew = now - call.arrived < recheck;
+    // The expected load time applies to a call that has just arrived; the load for a waiting call is due sooner.
+    const bool isNew = now - call.arrived < recheckInterval;
     if (now >= limit || (isNew && now + state.expectedLoadTime > limit)) {
         return Refuse{RefusalCause::AdapterNotLoaded, std::max(adapterRetry, state.expectedLoadTime)};
     }
-    return Wait{RefusalCause::AdapterNotLoaded, std::min(limit, now + recheck)};
+    return Wait{RefusalCause::AdapterNotLoaded, std::min(limit, now + recheckInterval)};
 }
 
+/** Lets a call without a usable backend server wait, or refuses it after its wait limit. */
 Decision waitOrRefuse(const DispatchState &state, const Call &call, RefusalCause cause, TimePoint readyAt, TimePoint now)
 {
     if (cause == RefusalCause::AdapterNotLoaded) {
@@ -133,7 +137,7 @@
     if (now >= limit) {
         return Refuse{cause, cause == RefusalCause::NoServer ? longRetry : shortRetry};
     }
-    return Wait{cause, std::min(limit, now + recheck)};
+    return Wait{cause, std::min(limit, now + recheckInterval)};
 }
 
 } // namespace
@@ -252,11 +256,11 @@
     if (!isKnown || view.record.born != record.born) {
         const unsigned running = isKnown ? view.running : 0;
         view = {};
-        view.running = running; // calls on an earlier incarnation still end
+        view.running = running; // calls to the previous incarnation are still to end
     }
     view.record = record;
     if (now >= view.coldUntil) {
-        view.firstColdSend = {}; // the turns of an earlier cold time are over: all instances would send at once
+        view.firstColdSend = {}; // the start times of a previous cold period have passed, so all instances would send at once
     }
     view.coldUntil = now + milliseconds(record.coldMilliseconds);
     if (!view.hasPlacement || record.held.empty()) {
@@ -300,13 +304,13 @@
         return;
     }
     if (call.model.empty()) {
-        // A plain service misses nothing: another backend server has its address. Only a newer announcement brings it back.
+        // A plain service has no models, so another backend server has taken its address. Only a newer announcement restores it.
         found->second.record.state = registry::ServerState::Gone;
     } else if (call.adapter.empty()) {
         found->second.baseModels.erase(call.model);
     } else if (const auto copy = found->second.adapters.find({call.model, call.adapter}); copy != found->second.adapters.end()) {
         if (now - copy->second.readyAt < lateLoadLimit) {
-            copy->second.readyAt = now + lateLoad;
+            copy->second.readyAt = now + lateLoadExtension;
         } else {
             found->second.adapters.erase(copy);
         }
--- a/tests/dispatch/dispatch.cpp
+++ b/tests/dispatch/dispatch.cpp
@@ -78,7 +78,7 @@
 
 } // namespace
 
-// Guards against calls on the wrong adapter or version, and against calls to backend servers that must get none.
+// Guards against calls with the wrong adapter or version, and against calls to backend servers that must not receive any.
 TEST_CASE("A call goes to a backend server that holds its adapter")
 {
     DispatchState state = makeState();
@@ -93,7 +93,7 @@
         CHECK(sentTo(decision) == "s2");
         CHECK(std::get<Send>(decision).adapterVersion == 2);
     }
-    SECTION("once its load has ended")
+    SECTION("not before its load has ended")
     {
         applyPlacement(state, {1, {{"s2", 1, {{"base", "a2", 1, 200}}}}}, start);
         const Decision decision = decide(state, modelCall("a2"), start);
@@ -101,7 +101,7 @@
         CHECK(std::get<Wait>(decision).until == start + milliseconds(200));
         CHECK(sentTo(decide(state, modelCall("a2"), start + milliseconds(200))) == "s2");
     }
-    SECTION("not to one that drains, or whose domain is evacuated")
+    SECTION("not to a draining one or one in an evacuated failure domain")
     {
         registry::ServerRecord draining = record("s1", "chat", 64, 2);
         draining.state = registry::ServerState::Draining;
@@ -110,7 +110,7 @@
         state.evacuatedDomains.insert("north");
         CHECK(sentTo(decide(state, plainCall(), start)).empty());
     }
-    SECTION("not by the word of an earlier leader")
+    SECTION("not according to a placement from an earlier leader term")
     {
         applyPlacement(state, {2, {{"s1", 1, {}}}}, start);
         applyPlacement(state, {1, {{"s1", 1, {{"base", "a1", 1, 0}}}}}, start);
@@ -118,8 +118,8 @@
     }
 }
 
-// Load pattern: more calls at once than the backend servers have places for.
-TEST_CASE("A full service makes calls wait within their objective, and then refuses them")
+// Guards against overload, and against calls that wait beyond their objective, when more calls arrive than the backend servers can take.
+TEST_CASE("Calls to a full service wait within their objective and are then refused")
 {
     DispatchState state = makeState();
     unsigned sent = 0;
@@ -136,12 +136,12 @@
     REQUIRE(std::holds_alternative<Wait>(waiting));
     CHECK(std::get<Wait>(waiting).until <= plainCall().objectiveEnd);
 
-    SECTION("a place that becomes free is used")
+    SECTION("freed capacity is used")
     {
         callEnded(state, "s3", CallResult::Answered, start);
         CHECK(sentTo(decide(state, plainCall(), start)) == "s3");
     }
-    SECTION("near the end of the objective the call is refused with a time to come back")
+    SECTION("near the end of the objective the call is refused with a retry time")
     {
         const Decision late = decide(state, plainCall(), start + milliseconds(95));
         REQUIRE(std::holds_alternative<Refuse>(late));
@@ -150,8 +150,8 @@
     }
 }
 
-// Load pattern: a zone's backend servers come back cold together, and every entry instance has calls for them.
-TEST_CASE("A cold backend server gets no more than its share of what it bears")
+// Guards against overload when the backend servers of a zone return cold together and every entry instance has calls for them.
+TEST_CASE("An entry instance sends a cold backend server no more than its share of the permitted rate")
 {
     DispatchState state = makeState();
     state.entryInstances = 4;
@@ -168,13 +168,13 @@
             ++sent;
         }
     }
-    CHECK(sent == 5); // 20 a second, divided over four instances
+    CHECK(sent == 5); // 20 per second, divided among four instances
     CHECK_FALSE(sentTo(decide(state, modelCall("a1"), start + milliseconds(1001))).empty());
     CHECK_FALSE(sentTo(decide(state, modelCall("a1"), start + milliseconds(3001))).empty());
 }
 
-// Load pattern: one backend server fails half of its calls while it says that it is well.
-TEST_CASE("A backend server that fails calls gets fewer of them, and its share back once it answers")
+// Guards against calls to a backend server that announces itself as ready but fails half of its calls.
+TEST_CASE("A backend server that fails calls receives fewer, and recovers its share once it answers")
 {
     DispatchState state = makeState();
     for (int call = 0; call < 10; ++call) {
@@ -194,7 +194,7 @@
     }
     CHECK(state.servers.at("s3").failureRate < 0.01);
 
-    SECTION("one that refuses connections is left out for a moment")
+    SECTION("after a failed connection, a backend server is avoided for a short time")
     {
         callStarted(state, "s4", start);
         callEnded(state, "s4", CallResult::Unreachable, start);
@@ -202,11 +202,11 @@
     }
 }
 
-// Guards against further calls to a backend server that is gone while another one answers at its address.
-TEST_CASE("A backend server that does not hold what a call needs gets no more of these calls")
+// Guards against further calls to a backend server that is gone when another one answers at its address.
+TEST_CASE("A backend server without the model of a call receives no more such calls")
 {
     DispatchState state = makeState();
-    SECTION("a plain one is another instance, until it announces itself again")
+    SECTION("a plain backend server is taken as replaced until it announces itself again")
     {
         const std::string first = sentTo(decide(state, plainCall(), start));
         handleMissingModel(state, first, plainCall(), start);
@@ -224,8 +224,8 @@
     }
 }
 
-// Load pattern: more adapters are in transit than the leader counts, so that loads end later than it expects.
-TEST_CASE("A call that comes before the end of a load is sent there again a little later")
+// Guards against failed calls when loads end later than expected because more adapters are in transit than the leader counts.
+TEST_CASE("A call sent before the end of a load is sent to the same backend server again shortly after")
 {
     DispatchState state = makeState();
     applyPlacement(state, {1, {{"s2", 1, {{"base", "a2", 1, 250}}}}}, start);
@@ -237,16 +237,16 @@
     const Decision decision = decide(state, call, expected);
     REQUIRE(std::holds_alternative<Wait>(decision));
     CHECK(sentTo(decide(state, call, std::get<Wait>(decision).until)) == "s2");
-    SECTION("but a copy that is gone keeps no call waiting that may go nowhere else")
+    SECTION("a pinned call is refused when the copy is gone")
     {
         handleMissingModel(state, "s2", call, start + seconds(3));
         CHECK(std::holds_alternative<Refuse>(decide(state, call, expected)));
     }
 }
 
-// Load pattern: a backend server returns cold while the instances of a large fleet wait for one. With one call a second of each of 58
-// instances it got 58 (FAILBACK on scale-1 of vito-bench-grown, seed 45616695525); the platform allows 1.5 x 20 + 5.
-TEST_CASE("A large fleet sends a cold backend server no more than it bears")
+// Guards against overload of a backend server that returns cold while all instances of a large fleet have waiting calls. With one call per
+// second from each of 58 instances it received 58 (scenario FAILBACK on scale-1, seed 45616695525); the platform allows 1.5 x 20 + 5.
+TEST_CASE("A large fleet stays within the permitted call rate of a cold backend server")
 {
     constexpr unsigned instances = 58;
     constexpr std::size_t allowed = 35;
@@ -263,7 +263,7 @@
     std::vector<TimePoint> sends;
     std::uint64_t sequence = 2;
     TimePoint now = start;
-    const auto coldTime = [&] {
+    const auto coldPeriod = [&] {
         ++sequence;
         registry::ServerRecord cold = record("s2", "chat", 64, sequence);
         cold.coldMilliseconds = 3000;
@@ -283,11 +283,11 @@
             }
         }
     };
-    coldTime();
+    coldPeriod();
     const std::size_t first = sends.size();
-    CHECK(first >= 30); // half of what it bears in three seconds
+    CHECK(first >= 30); // half of the permitted calls in three seconds
     now += seconds(5);
-    coldTime(); // it turns cold again
+    coldPeriod(); // the backend server becomes cold again
     CHECK(sends.size() > first);
     for (std::size_t i = 0; i < sends.size(); ++i) {
         const auto end = std::upper_bound(sends.begin(), sends.end(), sends[i] + milliseconds(999));
