--- a/include/mimosahollow/scheduling/pool.h
+++ b/include/mimosahollow/scheduling/pool.h
@@ -49,7 +49,7 @@
 void tick(PoolState &state, TimePoint now, Actions &actions);
 
 /** Starts to decide for the pool without the state of the earlier owner. */
-void takeOver(PoolState &state, const Takeover &ownership, TimePoint now);
+void takeOver(PoolState &state, const Takeover &takeover, TimePoint now);
 
 /** An entry instance reports all grants it holds. For an instance that is provably gone, call it with no grants. */
 void reconcileGrants(PoolState &state, const GrantReport &report, TimePoint now, Actions &actions);
--- a/src/scheduling/ownership.cpp
+++ b/src/scheduling/ownership.cpp
@@ -84,16 +84,16 @@
 
 } // namespace
 
-void takeOver(PoolState &state, const Takeover &ownership, TimePoint now)
+void takeOver(PoolState &state, const Takeover &takeover, TimePoint now)
 {
     PoolState old = std::exchange(state, makePool(state.pool, state.settings, now));
-    state.fencing = ownership.fencing;
+    state.fencing = takeover.fencing;
     state.domainState = old.domainState;
     state.randomState = old.randomState;
-    state.unknownGrantsExpireAt = ownership.unknownGrantsExpireAt;
-    state.ordersAllowedFrom = ownership.ordersAllowedFrom;
-    state.unreportedInstances = ownership.instances;
-    state.mayHaveUnknownGrants = ownership.unknownGrantsExpireAt > now;
+    state.unknownGrantsExpireAt = takeover.unknownGrantsExpireAt;
+    state.ordersAllowedFrom = takeover.ordersAllowedFrom;
+    state.unreportedInstances = takeover.instances;
+    state.mayHaveUnknownGrants = takeover.unknownGrantsExpireAt > now;
     state.averageLoadSeconds = old.averageLoadSeconds;
     state.averageServiceSeconds = old.averageServiceSeconds;
     state.popularityOrigin = old.popularityOrigin;
--- a/tests/scheduling/ownership.cpp
+++ b/tests/scheduling/ownership.cpp
@@ -16,8 +16,8 @@
     explicit NewOwner(bool checks) : PoolFixture(0, 4, 1, 4)
     {
         checksFencing = checks;
-        Takeover ownership{6, {InstanceId{1}, InstanceId{2}}, now + seconds(600), now + seconds(8)};
-        takeOver(state, ownership, now);
+        Takeover takeover{6, {InstanceId{1}, InstanceId{2}}, now + seconds(600), now + seconds(8)};
+        takeOver(state, takeover, now);
         declare(1, ServiceState::InService);
         announce(1, 1, {adapter});
         state.loadTokens = 100;
