--- a/include/mimosahollow/scheduling/actions.h
+++ b/include/mimosahollow/scheduling/actions.h
@@ -10,12 +10,12 @@
 
 namespace mimosahollow::scheduling {
 
-/** The entry instance may run the request on the server until the deadline of the request. */
+/** Permits the entry instance to run the request on the server until the deadline of the request. */
 struct Grant
 {
     RequestId id;
     InstanceId entry{};
-    std::uint64_t grant = 0;
+    std::uint64_t grant = 0; /**< Number that Release::grant repeats. */
     FencingNumber fencing = 0;
     ServerId server{};
     AdapterId adapter{};
@@ -23,13 +23,13 @@
     friend bool operator==(const Grant &, const Grant &) = default;
 };
 
-/** The request was not run. */
+/** Tells the entry instance that the request was not run. */
 struct Refusal
 {
     RequestId id;
     InstanceId entry{};
     RefusalReason reason{};
-    Duration retryAfter{};
+    Duration retryAfter{}; /**< Time after which a retry may succeed; 0: none. */
 
     friend bool operator==(const Refusal &, const Refusal &) = default;
 };
@@ -39,9 +39,10 @@
     Unload,
 };
 
+/** Load or unload of an adapter that a backend server has to carry out. */
 struct Order
 {
-    std::uint64_t order = 0; /**< Number that orderFinished() receives. */
+    std::uint64_t order = 0; /**< Passed to orderFinished() with the result. */
     OrderKind kind{};
     ServerId server{};
     AdapterId adapter{};
@@ -61,11 +62,11 @@
 /** Content of one decision log line. */
 struct DecisionRecord
 {
-    RequestId request; /**< Zero for loads and evictions that serve no single request. */
+    RequestId request; /**< Zero for loads and evictions that are not made for a single request. */
     OrganisationId organisation{};
     AdapterId adapter{};
     std::uint32_t candidates = 0;
-    ServerId choice{}; /**< 0: none. */
+    ServerId choice{}; /**< Chosen server; 0: none. */
     DecisionReason reason{};
     RefusalReason refusal{}; /**< Only valid with DecisionReason::Refused. */
 };
--- a/include/mimosahollow/scheduling/declaration.h
+++ b/include/mimosahollow/scheduling/declaration.h
@@ -9,8 +9,8 @@
 
 enum class ServiceState : std::uint8_t {
     InService,
-    Out, /**< Gets nothing new; an operator took it out. */
-    Leaving, /**< Gets nothing new; running requests finish. */
+    Out, /**< Taken out by an operator; gets no new work. */
+    Leaving, /**< Draining: gets no new work, running requests finish. */
 };
 
 struct DeclaredServer
@@ -19,10 +19,10 @@
     ServiceState state{};
 };
 
-/** What the configuration in force says about the pool. Servers that are not listed get no work. */
+/** Servers and service states of a pool in the active configuration. Servers that are not listed get no work. */
 struct PoolDeclaration
 {
-    ServiceState domainState{};
+    ServiceState domainState{}; /**< Of the failure domain of the pool. */
     std::vector<DeclaredServer> servers;
 };
 
--- a/include/mimosahollow/scheduling/grantreport.h
+++ b/include/mimosahollow/scheduling/grantreport.h
@@ -23,7 +23,7 @@
     friend bool operator==(const HeldGrant &, const HeldGrant &) = default;
 };
 
-/** All grants that an entry instance holds in one pool; sent to a new owner. */
+/** All grants that an entry instance holds in one pool; sent to the new owner of the pool. */
 struct GrantReport
 {
     InstanceId entry{};
--- a/include/mimosahollow/scheduling/poolstate.h
+++ b/include/mimosahollow/scheduling/poolstate.h
@@ -15,26 +15,27 @@
 
 namespace mimosahollow::scheduling {
 
-/** Fair shares of one organisation in the pool. */
+/** Fair-queueing state of one organisation in the pool. */
 struct OrganisationState
 {
     double weight = 1;
-    double servedTokens = 0; /**< Virtual counter: tokens divided by weight. */
-    double servedLoads = 0; /**< Virtual counter: loads divided by weight. */
-    std::uint32_t waiting = 0;
-    std::uint32_t running = 0; /**< Grants. */
+    double servedTokens = 0; /**< Virtual time: charged tokens divided by weight. */
+    double servedLoads = 0; /**< Virtual time: loads divided by weight. */
+    std::uint32_t waiting = 0; /**< Number of waiting requests. */
+    std::uint32_t running = 0; /**< Number of grants. */
 };
 
+/** Server that last ran a request with the prefix hash. */
 struct PrefixEntry
 {
     std::uint64_t hash = 0;
-    std::uint16_t server = 0;
+    std::uint16_t server = 0; /**< Index. */
 };
 
-/** Everything that the owner of a pool knows. Copyable; a copy is a complete snapshot. */
+/** Complete state of a pool at its owner. A copy is a full snapshot. */
 struct PoolState
 {
-    static constexpr std::size_t prefixEntries = 4096; // direct mapped; a collision only costs a prefix-cache hit
+    static constexpr std::size_t prefixEntries = 4096; // direct-mapped; a collision only costs a prefix-cache hit
 
     PoolId pool{};
     FencingNumber fencing = 0;
@@ -42,37 +43,37 @@
     ServiceState domainState = ServiceState::InService;
 
     std::vector<ServerState> servers;
-    std::vector<std::uint32_t> serverIndexes; /**< By server id; noIndex when not known. */
-    std::vector<AdapterState> adapters; /**< By adapter id; 0 stands for requests without an adapter. */
+    std::vector<std::uint32_t> serverIndexes; /**< Server id to index in servers; noIndex: unknown. */
+    std::vector<AdapterState> adapters; /**< By adapter id; element 0 is for requests without an adapter. */
     std::vector<OrganisationState> organisations; /**< By organisation id. */
     std::vector<RequestRecord> records;
-    std::uint32_t freeRecord = noIndex;
+    std::uint32_t freeRecord = noIndex; /**< Head of the free list in records. */
     RequestIndex index;
-    std::vector<std::uint32_t> waitingAdapters; /**< Adapter ids with waiting requests, in no order. */
+    std::vector<std::uint32_t> waitingAdapters; /**< Ids of adapters with waiting requests, unordered. */
     std::array<PrefixEntry, prefixEntries> prefixes{};
 
-    std::uint32_t waiting = 0;
+    std::uint32_t waiting = 0; /**< Number of waiting requests. */
     std::uint32_t loadsInFlight = 0;
-    double loadTokens = 0;
-    std::uint32_t loadTokenDemand = 0; /**< How many tokens of the fleet-wide load budget the pool could use now. */
-    std::uint32_t urgentLoadTokenDemand = 0; /**< Part of them for organisations with a short queue; to be given first. */
-    double averageLoadSeconds = 0.25; /**< Moving average of the time that a load takes. */
-    double averageServiceSeconds = 1; /**< Moving average of the time that a grant is held. */
-    double minimumSecondsPerToken = 0; /**< Time of a fast grant by its maximum output tokens; 0: not known. */
-    double tokenVirtualTime = 0; /**< Token counter of the organisation that was served last. */
-    double loadVirtualTime = 0;
+    double loadTokens = 0; /**< Available tokens of the load budget; one load takes one. */
+    std::uint32_t loadTokenDemand = 0; /**< Tokens of the fleet-wide load budget that the pool could use now. */
+    std::uint32_t urgentLoadTokenDemand = 0; /**< Part of loadTokenDemand for organisations with a short queue; served first. */
+    double averageLoadSeconds = 0.25; /**< Moving average of the duration of a load. */
+    double averageServiceSeconds = 1; /**< Moving average of the time from grant to release. */
+    double minimumSecondsPerToken = 0; /**< Duration of fast grants per maximum output token; 0: unknown. */
+    double tokenVirtualTime = 0; /**< Highest servedTokens at the start of a grant. */
+    double loadVirtualTime = 0; /**< Highest servedLoads at the start of a load. */
     std::uint64_t nextGrant = 1;
     std::uint64_t nextOrder = 1;
-    std::uint64_t randomState = 0; /**< State of the generator that breaks ties. */
+    std::uint64_t randomState = 0; /**< State of the pseudo-random generator that breaks ties. */
     TimePoint popularityOrigin;
-    TimePoint unknownGrantsExpireAt; /**< Grants of earlier owners have expired by then. */
-    TimePoint ordersAllowedFrom; /**< For servers that ignore fencing numbers. */
+    TimePoint unknownGrantsExpireAt; /**< All grants of earlier owners have expired. */
+    TimePoint ordersAllowedFrom; /**< Earliest order to servers that ignore fencing numbers. */
     TimePoint ownedSince;
-    std::vector<InstanceId> unreportedInstances; /**< Entry instances that have not reported their grants. */
-    bool mayHaveUnknownGrants = false; /**< Grants of earlier owners may exist. */
+    std::vector<InstanceId> unreportedInstances; /**< Entry instances that have not reported their grants to this owner. */
+    bool mayHaveUnknownGrants = false; /**< Grants of earlier owners may exist that this owner does not know. */
 };
 
-/** An empty state with its storage reserved. */
+/** Returns an empty state with its storage reserved. */
 [[nodiscard]] PoolState makePool(PoolId pool, const SchedulingSettings &settings, TimePoint now);
 
 } // namespace mimosahollow::scheduling
--- a/include/mimosahollow/scheduling/release.h
+++ b/include/mimosahollow/scheduling/release.h
@@ -17,15 +17,15 @@
     NotSent, /**< The entry instance did not use the grant. */
 };
 
-/** An entry instance returns a grant. */
+/** Return of a grant by its entry instance. */
 struct Release
 {
     RequestId id;
     std::uint64_t grant = 0;
-    FencingNumber fencing = 0; /**< Of the grant. */
+    FencingNumber fencing = 0; /**< Fencing number of the grant. */
     ReleaseOutcome outcome{};
     std::uint32_t tokensUsed = 0; /**< Prompt and output. */
-    Duration firstTokenLatency{}; /**< From sending the request; 0 when no token came. */
+    Duration firstTokenLatency{}; /**< From sending the request; 0 when no token arrived. */
 
     friend bool operator==(const Release &, const Release &) = default;
 };
--- a/include/mimosahollow/scheduling/request.h
+++ b/include/mimosahollow/scheduling/request.h
@@ -7,17 +7,17 @@
 
 namespace mimosahollow::scheduling {
 
-/** An entry instance asks the pool owner for a server. */
+/** Request of an entry instance to the pool owner for a server. */
 struct AcquireRequest
 {
     RequestId id;
     InstanceId entry{};
     OrganisationId organisation{};
-    double weight = 1; /**< Of the organisation, above 0. */
-    AdapterId adapter{}; /**< 0: the base model or a plain service. */
+    double weight = 1; /**< Fair-share weight of the organisation, above 0. */
+    AdapterId adapter{}; /**< 0: the base model or a service without adapters. */
     std::uint32_t promptTokens = 0;
     std::uint32_t maximumOutputTokens = 0;
-    std::uint64_t prefixHash = 0; /**< Of organisation and conversation; 0: none. */
+    std::uint64_t prefixHash = 0; /**< Hash of organisation and conversation; 0: none. */
     TimePoint deadline;
     bool repeatable = true;
 
--- a/include/mimosahollow/scheduling/requestindex.h
+++ b/include/mimosahollow/scheduling/requestindex.h
@@ -7,11 +7,11 @@
 
 namespace mimosahollow::scheduling {
 
-/** Open-addressing map from request id to record index: unlike std::unordered_map it allocates only when it grows. */
+/** Open-addressing hash map from request id to record index. Unlike std::unordered_map it allocates only when it grows. */
 class RequestIndex
 {
 public:
-    static constexpr std::uint32_t none = 0xffffffffU;
+    static constexpr std::uint32_t none = 0xffffffffU; // result of find() for unknown ids; also marks empty entries
 
     void reserve(std::size_t entries);
     [[nodiscard]] std::uint32_t find(const RequestId &id) const noexcept;
@@ -29,7 +29,7 @@
     [[nodiscard]] std::size_t homePosition(const RequestId &id) const noexcept;
     void rehash(std::size_t capacity);
 
-    std::vector<Entry> m_entries; // a power of two, at most half full
+    std::vector<Entry> m_entries; // size is a power of two; at most half of the entries are used
     std::size_t m_size = 0;
 };
 
--- a/include/mimosahollow/scheduling/serverevents.h
+++ b/include/mimosahollow/scheduling/serverevents.h
@@ -7,27 +7,27 @@
 
 namespace mimosahollow::scheduling {
 
-/** A declared backend server says that it is there. */
+/** Announcement of a backend server: its process, capacity and resident adapters. */
 struct ServerAnnouncement
 {
     ServerId server{};
     std::uint64_t incarnation = 0;
-    std::uint32_t slots = 0; /**< Requests that it runs at one time when warm. */
+    std::uint32_t slots = 0; /**< Concurrent requests when warm. */
     std::uint32_t adapterSlots = 0;
-    std::uint32_t coldLimit = 1;
-    bool checksFencing = false;
+    std::uint32_t coldLimit = 1; /**< Concurrent requests when cold. */
+    bool checksFencing = false; /**< The server rejects orders with an old fencing number. */
     bool leaving = false;
     std::vector<AdapterId> adapters; /**< Resident. */
 };
 
-/** Lagging load report of a backend server. */
+/** Load report of a backend server; may lag by SchedulingSettings::reportLag. */
 struct ServerReport
 {
     ServerId server{};
     std::uint64_t incarnation = 0;
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
-    std::vector<AdapterId> adapters;
+    std::vector<AdapterId> adapters; /**< Resident. */
 };
 
 } // namespace mimosahollow::scheduling
--- a/include/mimosahollow/scheduling/serverstate.h
+++ b/include/mimosahollow/scheduling/serverstate.h
@@ -14,50 +14,50 @@
     Loading,
     Resident,
     Unloading,
-    Unknown, /**< An order had no clear result; the next report that is young enough decides. */
+    Unknown, /**< The result of an order is unknown; the first report that cannot predate it decides. */
 };
 
-/** An adapter slot of a server that is not free. */
+/** An occupied adapter slot of a server. */
 struct AdapterSlot
 {
     AdapterId adapter{};
     SlotPhase phase{};
-    bool mayHaveUnknownGrants = false; /**< A grant of an earlier owner may use the adapter. */
-    bool isUnloadOrder = false; /**< The order is an unload; stays valid while the phase is Unknown. */
-    bool countsAsLoad = false; /**< Counted in AdapterState::pendingLoads of the adapter that is being loaded. */
+    bool mayHaveUnknownGrants = false; /**< Grants of an earlier owner may use the adapter. */
+    bool isUnloadOrder = false; /**< The last order was an unload; also valid in phase Unknown. */
+    bool countsAsLoad = false; /**< Counted in AdapterState::pendingLoads of the adapter to be loaded. */
     bool holdsLoadPermit = false; /**< Counted in PoolState::loadsInFlight. */
-    std::uint32_t users = 0; /**< Grants on this server for this adapter. */
-    std::uint64_t order = 0; /**< Load or unload in flight. */
-    AdapterId nextAdapter{}; /**< To be loaded when the unload is done. */
+    std::uint32_t users = 0; /**< Number of grants on this server for this adapter. */
+    std::uint64_t order = 0; /**< Number of the last order whose result may still arrive; 0: none. */
+    AdapterId nextAdapter{}; /**< Adapter to load after the unload; 0: none. */
     TimePoint since; /**< Start of the phase. */
 };
 
-/** An adapter that left a server recently; a lagging report may still list it. */
+/** An adapter that was removed from a server recently; a lagging report may still list it. */
 struct ErasedAdapter
 {
     AdapterId adapter{};
     TimePoint at;
 };
 
-/** What the owner knows about one backend server. */
+/** State of one backend server at the pool owner. */
 struct ServerState
 {
     ServerId id{};
-    ServiceState serviceState = ServiceState::Out;
-    bool isDeclared = false;
+    ServiceState serviceState = ServiceState::Out; /**< From the last PoolDeclaration that listed the server. */
+    bool isDeclared = false; /**< Listed in the last PoolDeclaration. */
     bool announced = false;
-    bool leaving = false; /**< By its own announcement. */
+    bool leaving = false; /**< Announced by the server itself. */
     bool checksFencing = false;
     std::uint64_t incarnation = 0;
     std::uint32_t adapterSlots = 0;
-    std::uint32_t grants = 0; /**< Requests granted by this owner or reconciled. */
-    std::uint32_t unknownGrants = 0; /**< Slots that an earlier owner may have granted. */
+    std::uint32_t grants = 0; /**< Grants of this owner, and those of earlier owners that were reported to it. */
+    std::uint32_t unknownGrants = 0; /**< Upper bound of unreported grants of earlier owners. */
     SlowStart slowStart;
-    TimePoint ordersAllowedFrom; /**< No order before: an earlier owner's order may still arrive. */
-    TimePoint grantsAllowedFrom; /**< Nothing new before: the server refused a connection. */
-    TimePoint lastSeen; /**< Last announcement or report. */
-    bool silent = false; /**< Not seen for SchedulingSettings::silenceTimeout. */
-    std::vector<AdapterSlot> slots; /**< Longer than adapterSlots only when the server reports more than that. */
+    TimePoint ordersAllowedFrom; /**< No order is sent before, as orders of an earlier owner may still arrive. */
+    TimePoint grantsAllowedFrom; /**< No grant or load before, after a refused connection. */
+    TimePoint lastSeen; /**< Arrival of the last announcement or report. */
+    bool silent = false; /**< Neither announcement nor report within SchedulingSettings::silenceTimeout. */
+    std::vector<AdapterSlot> slots; /**< Occupied slots; exceeds adapterSlots only when the server lists more adapters. */
     std::vector<ErasedAdapter> erased;
 };
 
--- a/include/mimosahollow/scheduling/takeover.h
+++ b/include/mimosahollow/scheduling/takeover.h
@@ -7,13 +7,13 @@
 
 namespace mimosahollow::scheduling {
 
-/** How an instance became the owner of a pool without a handover. */
+/** Start of ownership without a handover: the state of the earlier owner is lost. */
 struct Takeover
 {
     FencingNumber fencing = 0;
-    std::vector<InstanceId> instances; /**< Entry instances that could hold grants of earlier owners. */
-    TimePoint unknownGrantsExpireAt; /**< The last grant of an earlier owner has expired by then (maximum request deadline). */
-    TimePoint ordersAllowedFrom; /**< Old lease plus the longest order in flight; for servers that ignore fencing numbers. */
+    std::vector<InstanceId> instances; /**< Entry instances that may hold grants of earlier owners. */
+    TimePoint unknownGrantsExpireAt; /**< All grants of earlier owners have expired (maximum request deadline). */
+    TimePoint ordersAllowedFrom; /**< End of the old lease plus the longest order in flight; for servers that ignore fencing numbers. */
 };
 
 } // namespace mimosahollow::scheduling
--- a/src/scheduling/availability.h
+++ b/src/scheduling/availability.h
@@ -5,10 +5,10 @@
 
 namespace mimosahollow::scheduling {
 
-/** After a change of which servers take new work: moves loads and waiting requests to others or refuses them. */
+/** Applies a change of the usable servers: plans loads and grants on the others, or refuses waiting requests. */
 void applyAvailability(PoolState &state, TimePoint now, Actions &actions);
 
-/** Marks servers that have not been heard of for too long. Returns whether one is new. */
+/** Marks servers that exceeded SchedulingSettings::silenceTimeout. Returns whether a server was newly marked. */
 bool markSilentServers(PoolState &state, TimePoint now) noexcept;
 
 } // namespace mimosahollow::scheduling
--- a/src/scheduling/eviction.h
+++ b/src/scheduling/eviction.h
@@ -6,16 +6,16 @@
 
 namespace mimosahollow::scheduling {
 
-/** Where an adapter can be loaded. */
+/** Server and slot for a load. */
 struct LoadTarget
 {
     static constexpr std::size_t freeSlot = static_cast<std::size_t>(-1);
 
     std::uint32_t server = noIndex;
-    std::size_t victim = freeSlot; /**< Slot to unload first. */
+    std::size_t victim = freeSlot; /**< Position of the slot to unload first. */
 };
 
-/** True when no request runs, waits or is assigned for the adapter of the slot, and nothing about it is unknown (P2). */
+/** True when the adapter is resident, and no request runs, waits or may run unknown to this owner for it (P2). */
 [[nodiscard]] bool isEvictable(const PoolState &state, const AdapterSlot &slot) noexcept;
 
 /**
--- a/src/scheduling/loads.h
+++ b/src/scheduling/loads.h
@@ -5,16 +5,16 @@
 
 namespace mimosahollow::scheduling {
 
-/** Starts the loads that are worth a token now and updates PoolState::loadTokenDemand. */
+/** Starts loads while tokens and permits last; updates PoolState::loadTokenDemand and urgentLoadTokenDemand. */
 void planLoads(PoolState &state, TimePoint now, Actions &actions);
 
-/** Turns loads and unloads that exceeded their time into unknown slots. */
+/** Sets slots whose load or unload exceeded its timeout to phase Unknown. */
 void expireOrders(PoolState &state, TimePoint now);
 
-/** A load or unload ended without a clear result or failed; delays the next load of the adapter. */
+/** Records that a load, or the unload before it, failed or has no known result. Delays the next load of the adapter. */
 void recordLoadFailure(PoolState &state, AdapterId adapter, std::uint32_t server, TimePoint now);
 
-/** Time until the adapter is loaded if the organisation asks for it now; waiting loads of others count fairly. */
+/** Expected time until a load requested now by the organisation has finished, including its fair share of the load queue. */
 [[nodiscard]] Duration expectedLoadWait(const PoolState &state, AdapterId adapter, OrganisationId organisation, TimePoint now) noexcept;
 
 /** Number of usable servers on which the adapter is resident. */
--- a/src/scheduling/lookup.h
+++ b/src/scheduling/lookup.h
@@ -4,14 +4,14 @@
 
 namespace mimosahollow::scheduling {
 
-// Access to the dense tables of a pool. Functions that return a reference grow the table when the id is new.
+// Access to the tables of a pool, which are indexed by id. Functions that return a reference grow the table for new ids.
 
 [[nodiscard]] std::uint32_t findServer(const PoolState &state, ServerId id) noexcept;
 std::uint32_t addServer(PoolState &state, ServerId id);
 AdapterState &adapterState(PoolState &state, AdapterId id);
 OrganisationState &organisationState(PoolState &state, OrganisationId id);
 
-/** True when the server may get new work (P8, P12). */
+/** True when the server may get new work: announced, not silent, and in service like its failure domain (P8, P12). */
 [[nodiscard]] inline bool isUsable(const PoolState &state, const ServerState &server) noexcept
 {
     return server.announced && server.slowStart.warmLimit > 0 && server.isDeclared && server.serviceState == ServiceState::InService && !server.leaving
@@ -33,20 +33,20 @@
     return static_cast<double>(usedSlots(server)) / server.slowStart.limit;
 }
 
-/** Whether the organisation sends more than the pool can serve: its queue is long. */
+/** Whether the queue of the organisation is long, that is, it sends more than the pool can serve. */
 [[nodiscard]] inline bool hasLongQueue(const PoolState &state, OrganisationId organisation) noexcept
 {
-    constexpr std::uint32_t longQueueLength = 8; // about the requests that one server runs at a time
+    constexpr std::uint32_t longQueueLength = 8; // about the number of requests that one server runs concurrently
     return number(organisation) < state.organisations.size() && state.organisations[number(organisation)].waiting >= longQueueLength;
 }
 
 /** Next pseudo-random number of the pool (splitmix64). */
 [[nodiscard]] std::uint64_t nextRandom(PoolState &state) noexcept;
 
-/** Raises the popularity of the adapter by one request. */
+/** Adds one request to the popularity of the adapter. */
 void recordDemand(PoolState &state, AdapterId adapter, TimePoint now);
 
-/** The scaled value that a demand at @p now adds; divides AdapterState::popularity to get the present popularity. */
+/** Scaled value of one request at @p now. AdapterState::popularity divided by it is the decayed popularity. */
 [[nodiscard]] double popularityUnit(const PoolState &state, TimePoint now) noexcept;
 
 } // namespace mimosahollow::scheduling
--- a/src/scheduling/residency.h
+++ b/src/scheduling/residency.h
@@ -4,28 +4,28 @@
 
 namespace mimosahollow::scheduling {
 
-// Which adapters are on which server. AdapterState::holders lists exactly the servers with a slot in phase Resident.
+// Adapter slots of the servers. Invariant: AdapterState::holders lists exactly the servers with a slot in phase Resident.
 
 [[nodiscard]] AdapterSlot *findSlot(ServerState &server, AdapterId adapter) noexcept;
 
-/** Takes a slot in phase Loading for the adapter, which has none on the server yet. */
+/** Adds a slot in phase Loading. The adapter must have no slot on the server. */
 AdapterSlot &addSlot(PoolState &state, std::uint32_t server, AdapterId adapter, TimePoint now);
 void makeResident(PoolState &state, std::uint32_t server, AdapterSlot &slot, TimePoint now);
 void dropHolder(PoolState &state, std::uint32_t server, AdapterId adapter) noexcept;
 
-/** Removes the slot at @p position; ends its load, if any. */
+/** Removes the slot at @p position and ends its load, if any. The last slot moves to @p position. */
 void eraseSlot(PoolState &state, std::uint32_t server, std::size_t position, TimePoint now);
 
-/** The adapter that the slot is loading or will load after its unload; 0: none. */
+/** In phase Unloading the adapter to load next (0: none), otherwise the adapter of the slot. */
 [[nodiscard]] AdapterId loadingAdapter(const AdapterSlot &slot) noexcept;
 
-/** The load no longer serves waiting requests; its place in flight stays taken. */
+/** Stops counting the load in AdapterState::pendingLoads. Its permit stays in use until the order ends. */
 void abandonLoad(PoolState &state, AdapterSlot &slot) noexcept;
 
-/** Returns the place in flight of a load that ended. */
+/** Releases the permit of an ended load in PoolState::loadsInFlight. */
 void releaseLoadPermit(PoolState &state, AdapterSlot &slot) noexcept;
 
-/** Compares what the server lists with what is known; lagging lists do not undo newer knowledge. */
+/** Updates the slots from the adapters that the server lists. Changes within SchedulingSettings::reportLag are kept. */
 void applyResidentList(PoolState &state, std::uint32_t server, const std::vector<AdapterId> &listed, TimePoint now);
 
 } // namespace mimosahollow::scheduling
--- a/src/scheduling/unknowngrants.h
+++ b/src/scheduling/unknowngrants.h
@@ -4,7 +4,7 @@
 
 namespace mimosahollow::scheduling {
 
-/** No grant of an earlier owner can exist any more that is not known. */
+/** Marks that every remaining grant of earlier owners is known, and frees what was reserved for unknown ones. */
 void clearUnknownGrants(PoolState &state) noexcept;
 
 } // namespace mimosahollow::scheduling
