--- a/src/scheduling/eviction.cpp
+++ b/src/scheduling/eviction.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Whether a load may be ordered on the server at all. */
+/** Whether the server may get an order to load the adapter: it accepts orders and has no slot for the adapter yet. */
 bool mayLoad(const PoolState &state, const ServerState &server, AdapterId adapter, TimePoint now) noexcept
 {
     const bool ordersAllowed = server.ordersAllowedFrom <= now && server.grantsAllowedFrom <= now;
@@ -19,12 +19,12 @@
     return isUsable(state, server) && server.adapterSlots > 0 && ordersAllowed && !present;
 }
 
-// Without this replica, the others would have to carry its work; up to this part of their slots that causes no waits.
+// Without this replica, the others have to run its requests. Up to this fraction of their slots in use, that causes no waits.
 constexpr double spareReplicaLoad = 0.5;
-// A replica that is not needed now may be needed again: it is worth a little more than nothing.
+// A spare replica may be needed again, so it keeps a small part of its usefulness.
 constexpr double spareReplicaFactor = 0.1;
 
-/** Whether the other servers with the adapter can carry all of its requests. */
+/** Whether the other usable servers with the adapter could also run the requests of this one. */
 bool isSpareReplica(const PoolState &state, const ServerState &server, AdapterId adapter) noexcept
 {
     std::uint32_t users = 0;
@@ -41,10 +41,10 @@
     return otherSlots > 0 && users <= spareReplicaLoad * otherSlots;
 }
 
-// Its requests wait anyway, so its idle adapters are worth little now.
+// Requests of an organisation with a long queue wait anyway, so its idle adapters are cheap to evict.
 constexpr double longQueueFactor = 0.05;
 
-/** Popularity of the adapter in the slot for each of its replicas. */
+/** Popularity of the adapter per replica, reduced for spare replicas and for organisations with a long queue. */
 double usefulness(const PoolState &state, const ServerState &server, const AdapterSlot &slot) noexcept
 {
     const AdapterState &adapter = state.adapters[number(slot.adapter)];
@@ -73,7 +73,7 @@
     return victim;
 }
 
-/** Servers with a free request slot come first: the waiting request can start there at once. */
+/** Load of the server: servers with free request slots come first, as the waiting request can start there at once. */
 double serverCost(const ServerState &server) noexcept
 {
     return loadOf(server);
@@ -106,7 +106,7 @@
         const bool isFailed = i == failed;
         const bool full = usedSlots(server) >= server.slowStart.limit;
         const double cost = isFree ? serverCost(server) : victim.usefulness * (full ? 4 : 1);
-        // Another server than the one that failed, then a free slot, then the cheapest.
+        // Order of preference: not the server of the last failed load, then a free adapter slot, then the lowest cost.
         const bool better = best.server == noIndex || (isFailed != bestFailed ? bestFailed : (isFree != bestFree ? isFree : cost < bestCost));
         if (better) {
             best = {i, victim.position};
--- a/src/scheduling/loads.cpp
+++ b/src/scheduling/loads.cpp
@@ -14,23 +14,23 @@
 
 namespace {
 
-// A replica must be clearly more useful than what it displaces, or replicas of two adapters would displace each other.
+// A replica must be clearly more useful than the adapter it evicts, or replicas of two adapters would evict each other in turn.
 constexpr double replicaAdvantage = 0.5;
-// Each further request that a load would serve moves it ahead by this much waiting time.
+// Each additional waiting request for the adapter moves its load ahead by this time.
 constexpr Duration waiterBonus = milliseconds(100);
-// Requests with a distant deadline let others pass for at most this time.
+// Loads for requests with a distant deadline are overtaken by more urgent ones for at most this time after the arrival.
 constexpr Duration longestLoadDelay = seconds(10);
-// Doublings of the retry delay beyond this exceed the longest delay by far.
+// Limits the shift. The delay reaches loadRetryLongest after far fewer doublings.
 constexpr std::uint16_t mostDoublings = 16;
 
-/** An adapter that should be loaded, and the waiting request that stands for it. */
+/** An adapter that should be loaded, with the waiting request that determines its rank. */
 struct LoadCandidate
 {
     AdapterId adapter{};
     std::uint32_t record = noIndex;
     bool replica = false;
-    bool longQueue = false; /**< The organisation's queue is long; its loads come after those of others. */
-    double served = std::numeric_limits<double>::infinity(); /**< Load counter of the organisation. */
+    bool longQueue = false; /**< The organisation of the request has a long queue; its loads come after those of others. */
+    double served = std::numeric_limits<double>::infinity(); /**< OrganisationState::servedLoads of the organisation. */
     TimePoint priority = TimePoint::max();
 };
 
@@ -44,13 +44,13 @@
     return false;
 }
 
-/** When the load should be done: late enough loads of one organisation wait for urgent ones, but not forever. */
+/** Time by which the load should be done. Within an organisation the earliest goes first; longestLoadDelay prevents starvation. */
 TimePoint latestLoad(const PoolState &state, const RequestRecord &record) noexcept
 {
     return std::min(record.request.deadline - minimumRunTime(state, record.request), record.arrival + longestLoadDelay);
 }
 
-/** The request of the least served organisation, the oldest among them. */
+/** Ranks the candidate by the most urgent request of the organisation with the fewest served loads. */
 void chooseRequest(const PoolState &state, const AdapterState &adapter, LoadCandidate &candidate) noexcept
 {
     for (std::uint32_t i = adapter.firstWaiting; i != noIndex; i = state.records[i].next) {
@@ -80,10 +80,10 @@
 {
     LoadCandidate best;
     std::uint32_t adapters = 0;
-    std::uint32_t urgent = 0; /**< Of organisations with a short queue. */
+    std::uint32_t urgent = 0; /**< Number of adapters whose request is from an organisation with a short queue. */
 };
 
-/** Adapters that wait for a load, except those at positions before @p skipped that found no server. */
+/** Adapters that wait for a load and may be loaded now, except those in @p skipped, for which no server was found. */
 LoadDemand findDemand(const PoolState &state, const std::vector<AdapterId> &skipped, TimePoint now)
 {
     LoadDemand demand;
@@ -155,8 +155,8 @@
 }
 
 /**
- * A replica on a full server helps only an organisation that is served before others there: not the one that was served
- * most.
+ * A replica on a full server helps only an organisation that is served before others there, so not the active one with the
+ * most served tokens.
  */
 bool needsFreeSlot(const PoolState &state, const LoadCandidate &candidate) noexcept
 {
@@ -166,7 +166,7 @@
            });
 }
 
-/** Popularity below which other adapters give way to the candidate. */
+/** Adapters with a usefulness below this value may be evicted for the candidate. */
 double evictionThresholdFor(const PoolState &state, const LoadCandidate &candidate) noexcept
 {
     if (!candidate.replica) {
@@ -187,7 +187,7 @@
 
 void planLoads(PoolState &state, TimePoint now, Actions &actions)
 {
-    std::vector<AdapterId> skipped; // stays empty, without storage, unless every adapter slot is in use
+    std::vector<AdapterId> skipped; // allocates only when a load finds no server
     LoadDemand demand = findDemand(state, skipped, now);
     while (demand.best.record != noIndex && state.loadTokens >= 1 && state.loadsInFlight < state.settings.maximumLoadsInFlight) {
         const LoadTarget target =
@@ -250,7 +250,7 @@
     for (const OrganisationState &other : state.organisations) {
         active += other.waiting > 0 ? 1 : 0;
     }
-    // Loads are shared fairly: at most as many of each other organisation as of this one go first.
+    // Loads are shared fairly: of each other organisation at most as many go first as this one has, including the new one.
     const double ahead = std::min<double>(all, (own + 1.0) * std::max(active, 1U) - 1);
     const double shortOfTokens = std::max(0.0, ahead + 1 - state.loadTokens);
     Duration wait = fromSeconds(shortOfTokens / state.settings.loadsPerSecond + state.averageLoadSeconds);
--- a/src/scheduling/lookup.cpp
+++ b/src/scheduling/lookup.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Doubles hold 2^1023; renormalising at 2^256 leaves ample room for sums.
+// A double holds up to 2^1023; rescaling at 2^256 leaves ample headroom for sums.
 constexpr double largestExponent = 256;
 
 template<typename Element>
--- a/src/scheduling/orders.cpp
+++ b/src/scheduling/orders.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double loadTimeWeight = 0.2; // of the newest load in the moving average
+constexpr double loadTimeWeight = 0.2; // weight of the latest load in the moving average
 
 struct FoundOrder
 {
@@ -55,14 +55,14 @@
     makeResident(state, found.server, slot, now);
 }
 
-/** The slot is free: the adapter that caused the unload takes it. */
+/** Frees the slot and orders the load for which the adapter was evicted, if the load is still wanted and the server usable. */
 void unloadDone(PoolState &state, const FoundOrder &found, TimePoint now, Actions &actions)
 {
     ServerState &server = state.servers[found.server];
     AdapterSlot unloaded = server.slots[found.slot];
     const bool mayLoad = unloaded.countsAsLoad && isUsable(state, server);
     if (!mayLoad && unloaded.holdsLoadPermit) {
-        state.loadTokens += 1; // the token was not used
+        state.loadTokens += 1; // the load did not start, so its token is returned
     }
     eraseSlot(state, found.server, found.slot, now);
     if (!mayLoad) {
@@ -84,13 +84,13 @@
         recordLoadFailure(state, slot.nextAdapter, found.server, now);
     }
     if (slot.holdsLoadPermit) {
-        state.loadTokens += 1; // the token was not used
+        state.loadTokens += 1; // the load did not start, so its token is returned
     }
     abandonLoad(state, slot);
     releaseLoadPermit(state, slot);
     markUnknown(slot, now);
     if (outcome != OrderOutcome::Unknown) {
-        makeResident(state, found.server, slot, now); // the server did not carry it out
+        makeResident(state, found.server, slot, now); // not executed, so the adapter is still resident
     }
 }
 
--- a/src/scheduling/ownership.cpp
+++ b/src/scheduling/ownership.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-// Order results of the former owner never arrive here; the servers' reports decide within about two report intervals.
+// Results of orders of the former owner do not arrive here; server reports settle them within about two report intervals.
 constexpr Duration inheritedLoadRetryDelay = seconds(1);
 
-/** Takes over what a server is, not what it runs. */
+/** Copies the properties of a server and its slots, but no grants: all slots count as granted until proven otherwise. */
 void inheritServer(PoolState &state, const ServerState &old, TimePoint now)
 {
     const std::uint32_t position = addServer(state, old.id);
@@ -40,6 +40,7 @@
     }
 }
 
+/** Whether the grant is valid and not yet known to this owner. */
 bool isNew(const PoolState &state, const HeldGrant &held, TimePoint now) noexcept
 {
     const std::uint32_t known = state.index.find(held.id);
@@ -48,6 +49,7 @@
            && (known == noIndex || state.records[known].phase == RequestPhase::Waiting);
 }
 
+/** Adds the reported grant in place of a waiting request with the same id, if any. */
 void adoptGrant(PoolState &state, InstanceId entry, const HeldGrant &held, TimePoint now)
 {
     const std::uint32_t waiting = state.index.find(held.id);
@@ -145,7 +147,7 @@
     state = std::move(handedOver);
     state.fencing = fencing;
     state.ownedSince = now;
-    state.loadTokens = 0; // tokens belong to the instance that was given them
+    state.loadTokens = 0; // load tokens were granted to the former owner and are not transferable
     for (ServerState &server : state.servers) {
         for (AdapterSlot &slot : server.slots) {
             if (slot.phase != SlotPhase::Loading && slot.phase != SlotPhase::Unloading) {
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// Two loads closer than this are equal; ratios of small whole numbers differ by far more.
+// Loads that differ by less are equal; distinct ratios of small integers differ by far more.
 constexpr double equalLoad = 1e-9;
-// Callers are told to try again after the time in which a failure domain usually returns or work moves elsewhere.
+// Time in which a failure domain usually returns or work moves elsewhere; sent to callers as the retry delay.
 constexpr Duration noCapacityRetry = seconds(1);
 
 struct LeastLoaded
@@ -37,7 +37,7 @@
         best.ties = 1;
     } else if (load < best.load + equalLoad) {
         ++best.ties;
-        // Each of the tied servers is kept with equal probability.
+        // Reservoir sampling: each of the tied servers is chosen with equal probability.
         if (nextRandom(state) % best.ties == 0) {
             best.server = position;
         }
@@ -58,7 +58,7 @@
     return std::find(holders.begin(), holders.end(), server) != holders.end();
 }
 
-/** The server whose prefix cache probably holds the beginning of the prompt, when it is not much busier. */
+/** Server that last ran the prefix, and so probably has it cached, unless it is much busier than the least loaded one. */
 std::uint32_t prefixAffinityServer(PoolState &state, const AcquireRequest &request, double lowestLoad, TimePoint now) noexcept
 {
     if (request.prefixHash == 0) {
--- a/src/scheduling/queue.cpp
+++ b/src/scheduling/queue.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Time that one token of a request lets later, shorter requests pass; about the time that an engine needs for a token.
+// Handicap per output token of a request, so that shorter requests may overtake it; about the time an engine needs for a token.
 constexpr std::chrono::microseconds handicapPerToken(5000);
-// An organisation that used idle capacity keeps at most this much of it as a debt when others begin to wait: about the
-// tokens that one server generates in 30 s.
+// An organisation that used idle capacity keeps at most this debt when others begin to wait: about the tokens that one
+// server generates in 30 s.
 constexpr double largestDebtTokens = 20000;
 constexpr double largestDebtLoads = 20;
 
-/** Brings a counter that becomes active between the lowest active one and that plus the largest debt. */
+/** Clamps the virtual time of an organisation that becomes active to [lowest active, lowest active + debt]. */
 double activated(double counter, double lowest, double debt) noexcept
 {
     return std::clamp(counter, lowest, lowest + debt);
@@ -28,7 +28,7 @@
     return record.arrival + std::min(handicap, state.settings.maximumHandicap);
 }
 
-/** Keeps the better of @p best and the waiting requests of the adapter. */
+/** Sets @p best to the first in order of @p best and the waiting requests of the adapter. */
 void considerList(const PoolState &state, std::uint32_t adapter, std::uint32_t &best) noexcept
 {
     for (std::uint32_t i = state.adapters[adapter].firstWaiting; i != noIndex; i = state.records[i].next) {
@@ -50,7 +50,7 @@
 
 void activate(PoolState &state, OrganisationState &organisation) noexcept
 {
-    // One that has requests running is active: it keeps what it is owed while its queue is empty for a moment.
+    // An organisation with running requests is active: it keeps its virtual time while its queue is briefly empty.
     if (organisation.waiting + organisation.running > 0) {
         return;
     }
--- a/src/scheduling/requestindex.cpp
+++ b/src/scheduling/requestindex.cpp
@@ -13,7 +13,7 @@
 
 std::size_t RequestIndex::homePosition(const RequestId &id) const noexcept
 {
-    // Sequence numbers are consecutive; the multiplication spreads them and the high half mixes into the low bits.
+    // Sequence numbers are consecutive: the multiplication spreads them, and the shift mixes the high half into the low bits.
     const std::uint64_t mixed = (id.process ^ id.sequence) * 0x9E3779B97F4A7C15ULL;
     return static_cast<std::size_t>(mixed ^ (mixed >> 32U)) & (m_entries.size() - 1);
 }
@@ -63,7 +63,7 @@
     if (m_entries[hole].record == none) {
         return;
     }
-    // Moves later entries of the same run back, so that no search ends early at the hole.
+    // Backward-shift deletion: moves later entries of the same probe run back, so that no search ends early at the hole.
     for (std::size_t i = (hole + 1) & mask; m_entries[i].record != none; i = (i + 1) & mask) {
         const std::size_t distance = (i - homePosition(m_entries[i].id)) & mask;
         if (distance >= ((i - hole) & mask)) {
--- a/src/scheduling/requests.cpp
+++ b/src/scheduling/requests.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-constexpr double serviceTimeWeight = 0.02; // of the newest grant in the moving average
-// Refusing a request that would have been on time is worse than running one that is late, so the estimate of the run time
-// follows the fast grants: about one in twenty is faster.
+constexpr double serviceTimeWeight = 0.02; // weight of the latest grant in the moving average
+// Refusing a request that would finish in time is worse than running one that finishes late, so the run time estimate follows
+// fast grants: about one in twenty is faster.
 constexpr double fallWeight = 0.1;
 constexpr double riseWeight = 0.005;
-constexpr Duration overloadedRetry = seconds(1); // about the time in which a full queue moves on
+constexpr Duration overloadedRetry = seconds(1); // about the time in which a full queue advances
 
-/** Reason not to queue the request, or a wait of the load queue that it can bear. */
+/** Refuses the request if the queue of its organisation is full or its adapter would be loaded too late for the deadline. */
 bool refuseIfTooLate(PoolState &state, const AcquireRequest &request, TimePoint now, Actions &actions)
 {
     const OrganisationState &organisation = organisationState(state, request.organisation);
@@ -38,6 +38,7 @@
     return true;
 }
 
+/** Whether any usable server could run the request. */
 bool canRun(const PoolState &state, const AcquireRequest &request) noexcept
 {
     return std::any_of(state.servers.begin(), state.servers.end(), [&](const ServerState &server) {
@@ -94,7 +95,7 @@
         return;
     }
     if (known != noIndex) {
-        // An entry instance runs one attempt at a time, so the release of the earlier one was lost.
+        // An entry instance runs one attempt at a time, so the release of the earlier grant was lost.
         const std::uint32_t server = state.records[known].server;
         endGrant(state, known, state.records[known].chargedTokens);
         grantWaiting(state, server, now, actions);
--- a/src/scheduling/residency.cpp
+++ b/src/scheduling/residency.cpp
@@ -15,7 +15,10 @@
     });
 }
 
-/** Settles the slots that the list decides. Returns true when every resident adapter that was known long enough is missing. */
+/**
+ * Updates the slots that are older than the report lag from the list. Returns true when at least one such resident adapter is
+ * missing and the list confirms no resident adapter.
+ */
 bool settleSlots(PoolState &state, std::uint32_t server, const std::vector<AdapterId> &listed, TimePoint now)
 {
     std::size_t confirmed = 0;
@@ -57,7 +60,7 @@
     AdapterSlot &slot = state.servers[server].slots.emplace_back();
     slot.adapter = adapter;
     slot.since = now;
-    // A slot may return while grants from before its loss are still out; they count as use (P2).
+    // The adapter may be resident again while grants from before its removal are still held; they count as use (P2).
     for (const RequestRecord &record : state.records) {
         slot.users += record.phase == RequestPhase::Granted && record.server == server && record.request.adapter == adapter ? 1 : 0;
     }
@@ -124,7 +127,7 @@
     std::vector<AdapterId> sorted(listed);
     std::sort(sorted.begin(), sorted.end());
     if (settleSlots(state, server, sorted, now)) {
-        // An engine that lost all its adapters has restarted, even if it kept its incarnation number.
+        // An engine that lost all its adapters has restarted, even if its incarnation number is unchanged.
         resetSlowStart(owner.slowStart);
     }
     for (const AdapterId adapter : sorted) {
--- a/src/scheduling/servers.cpp
+++ b/src/scheduling/servers.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Forgets what was known about the earlier process of the server. Its grants stay counted until they are returned. */
+/** Resets the state of the server for a new process. Grants of the earlier process count until they are released. */
 void restartServer(PoolState &state, std::uint32_t position, const ServerAnnouncement &announcement, TimePoint now)
 {
     ServerState &server = state.servers[position];
@@ -38,7 +38,7 @@
     server.grantsAllowedFrom = std::min(server.grantsAllowedFrom, now);
 }
 
-/** Grants that a report of the present must already include. */
+/** Number of grants on the server that are old enough to be included in a report that arrives now. */
 std::uint32_t reportedGrants(const PoolState &state, std::uint32_t server, TimePoint now) noexcept
 {
     return static_cast<std::uint32_t>(std::count_if(state.records.begin(), state.records.end(), [&](const RequestRecord &record) {
@@ -46,11 +46,11 @@
     }));
 }
 
-/** Lowers the slots in unknown use to what the server reports beyond the known grants. */
+/** Lowers ServerState::unknownGrants to the number of reported requests beyond the known grants. */
 void narrowUnknownGrants(PoolState &state, std::uint32_t position, const ServerReport &report, TimePoint now) noexcept
 {
     ServerState &server = state.servers[position];
-    // Earlier reports may be from a time when grants of the former owner had not reached the server yet.
+    // Earlier reports may predate the arrival of the last requests that the former owner granted.
     if (server.unknownGrants == 0 || now < state.ownedSince + state.settings.reportLag) {
         return;
     }
--- a/src/scheduling/slowstart.cpp
+++ b/src/scheduling/slowstart.cpp
@@ -6,17 +6,18 @@
 
 namespace {
 
-// A prompt of this many tokens takes about as long to process as the fixed part of a first token.
+// Prompt length whose processing takes about as long as the fixed part of the first-token latency.
 constexpr double referencePromptTokens = 512;
 constexpr double goodFactor = 2; // docs/design.md section 5
 constexpr double coldFactor = 4; // docs/design.md section 5
-// The baseline follows faster answers quickly and slower ones slowly, so that a server that turns cold cannot hide it by
-// raising its own baseline, but a lasting change (another engine version) is learned after some hundred answers.
+// The baseline follows faster responses quickly and slower ones slowly: a server that turns cold cannot mask this by raising
+// its own baseline, but a lasting change (another engine version) is adopted after some hundred responses.
 constexpr double fallWeight = 0.25;
 constexpr double riseWeight = 1.0 / 64;
-// Below this latency, scheduling noise of the host exceeds the factors above.
+// Seconds. Below this latency, scheduling noise of the host exceeds the factors above.
 constexpr double smallestBaseline = 0.005;
 
+/** Latency divided by the relative cost of the prompt, so that prompts of different lengths compare. */
 double normalised(double latency, std::uint32_t promptTokens) noexcept
 {
     return latency / (1 + static_cast<double>(promptTokens) / referencePromptTokens);
--- a/src/scheduling/tick.cpp
+++ b/src/scheduling/tick.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Whether a waiting request cannot end before its deadline any more. */
+/** Whether a waiting request can no longer finish before its deadline, including a load if its adapter needs one. */
 bool cannotMeetDeadline(const PoolState &state, const RequestRecord &record, TimePoint now) noexcept
 {
     const AdapterId id = record.request.adapter;
