--- a/include/mimosahollow/allowance/quotacache.h
+++ b/include/mimosahollow/allowance/quotacache.h
@@ -13,11 +13,11 @@
 struct QuotaCacheOptions
 {
     /**
-     * Tokens are held for the demand of this time. They may be spent in the window after the one they were granted in, so the time is
-     * limited by the tolerated excess of 10% of a window of 8 s.
+     * The cache holds enough tokens for the expected demand of this duration. They may be spent in a later window than the one in which
+     * they were granted, so the duration is limited by the tolerated excess of 10% of a window of 8 s.
      */
     Duration reserve = milliseconds(400);
-    Duration history = seconds(8); /**< Spending of this time is kept for a new leader; equals the window of the rate limiter. */
+    Duration history = seconds(8); /**< For how long spending is kept, to be reported to a new leader; equals the window of the rate limiter. */
     Duration historyStep = milliseconds(250); /**< Spending within one step is recorded as one sum. */
     Duration lifetime = seconds(1); /**< Unused tokens expire after this time, so that a paused instance does not spend them much later. */
     Duration smoothing = seconds(1); /**< Time constant of the demand estimate. */
@@ -64,7 +64,7 @@
 /** Expires tokens held beyond their lifetime. Returns the amount to return to the leader; each amount is reported once. */
 [[nodiscard]] double takeExpired(const QuotaCache &cache, CachedQuota &quota, TimePoint now);
 
-/** Tokens spent within the history and those still held, for a new leader that has no record of them. */
+/** Tokens spent within QuotaCacheOptions::history and those still held, for a new leader, which has no record of them. */
 [[nodiscard]] std::vector<Spending> spendingHistory(const QuotaCache &cache, const CachedQuota &quota, TimePoint now);
 
 /** Tokens to request from the leader: the reserve and the shortfall, less the tokens held. */
--- a/include/mimosahollow/allowance/ratelimiter.h
+++ b/include/mimosahollow/allowance/ratelimiter.h
@@ -16,7 +16,7 @@
 struct RateLimiterOptions
 {
     Duration window = seconds(8); /**< Sliding window; within it an organisation is granted at most rate x window + burst. */
-    /** A new leader grants nothing for this time while entry instances report what they have spent; several report intervals. */
+    /** A new leader grants nothing for this time, so that entry instances can report what they have spent; covers several report intervals. */
     Duration takeoverDelay = milliseconds(700);
     Duration step = milliseconds(100); /**< Grants within one step are recorded as one sum, which stays in the window for up to one step longer. */
 };
--- a/include/mimosahollow/coordination/actions.h
+++ b/include/mimosahollow/coordination/actions.h
@@ -45,7 +45,7 @@
     DomainId home{}; /**< Failure domain of this instance; 0 if the configuration does not contain it. */
 };
 
-/** The freshness lease was renewed: the configuration of this instance may be used until then. */
+/** The freshness lease was renewed: the configuration of this instance may be used until freshUntil. */
 struct FreshnessChanged
 {
     TimePoint freshUntil{};
--- a/include/mimosahollow/membership/poolholder.h
+++ b/include/mimosahollow/membership/poolholder.h
@@ -24,7 +24,7 @@
 {
     InstanceId owner{};
     FencingNumber fencing = 0;
-    TimePoint learnedAt = neverTime;
+    TimePoint learnedAt = neverTime; /**< When this instance applied the assignment with this fencing number. */
     bool released = false; /**< No longer owned under this fencing number: released, refused by a peer, or removed from the control state. */
     bool activated = false; /**< This instance has started to act as the owner. */
     TimePoint activatedAt = neverTime;
--- a/include/mimosahollow/membership/renewal.h
+++ b/include/mimosahollow/membership/renewal.h
@@ -46,7 +46,7 @@
 /** Requests freshness and pool leases; a relay merges the requests of its followers into its own. */
 struct RenewRequest
 {
-    std::uint64_t sequence = 0; /**< The sender stores the send time under this number. */
+    std::uint64_t sequence = 0; /**< Copied into the reply; the sender looks up its send time by it. */
     FollowerEntry self;
     std::vector<FollowerEntry> followers;
     std::vector<PoolRenewal> pools;
--- a/src/coordinator/coordinatorsettings.h
+++ b/src/coordinator/coordinatorsettings.h
@@ -12,7 +12,7 @@
 
 namespace mimosahollow::coordinator {
 
-/** Timing of the replicated log. Long intervals, as machines may have a fraction of a core and each wake-up costs CPU time. */
+/** Timing of the replicated log. The intervals are long because each wake-up costs CPU time, and a machine may have only a fraction of a core. */
 inline control::ConsensusOptions consensusDefaults()
 {
     control::ConsensusOptions options;
@@ -37,10 +37,12 @@
      * 500 ms without a heartbeat at the earliest, so the last order of a leader precedes the term of the next one.
      */
     Duration majorityContactTimeout = milliseconds(350);
-    /** Voters that know that there is no leader start an election after a random delay up to this; a round of votes takes 3 to 25 ms. */
+    /** Upper limit of the random delay before a voter that knows of no leader starts an election. A round of votes takes 3 to 25 ms. */
     Duration electionSpread = milliseconds(150);
-    Duration creditInterval = milliseconds(200); /**< Between credits to the leader; three fit into the silence after which a coordinator gets no orders. */
-    Duration orderTimeout = milliseconds(500); /**< For an order through another coordinator: the engine's response time and two hops. */
+    /** Interval of order credits to the leader. Three intervals fit into OrderSlotOptions::contactTimeout, after which a coordinator gets no orders. */
+    Duration creditInterval = milliseconds(200);
+    /** For an order sent through another coordinator; covers the response time of the engine and two network hops. */
+    Duration orderTimeout = milliseconds(500);
     Duration minimumTakeoverDelay = milliseconds(150); /**< Minimum wait before grants start; entry instances connect to a new leader within this time. */
     Duration tickInterval = milliseconds(25); /**< A quarter of a heartbeat. */
     control::ConsensusOptions consensus = consensusDefaults();
