--- a/src/serving/attempts.cpp
+++ b/src/serving/attempts.cpp
@@ -7,7 +7,7 @@
 using gateway::AttemptOutcome;
 using scheduling::ReleaseOutcome;
 
-// Each attempt may cost a slot of another server, so a call that fails everywhere must not walk through the whole fleet.
+// Each attempt may occupy a slot of another server, so a call that fails on every server must not be tried on the whole fleet.
 constexpr std::uint32_t maximumAttempts = 3;
 constexpr unsigned firstServerError = 500;
 
@@ -51,13 +51,13 @@
     release.fencing = call.fencing;
     release.outcome = releaseOutcome(result);
     release.tokensUsed = static_cast<std::uint32_t>(usedTokens(call, result));
-    // The gateway counts from the arrival of the call; the server is not responsible for the time before the grant.
+    // The gateway measures from the arrival of the call; the time before the grant must not count against the server.
     const Duration beforeGrant = call.grantedAt - call.request.arrival;
     release.firstTokenLatency = result.firstTokenLatency > beforeGrant ? result.firstTokenLatency - beforeGrant : Duration::zero();
     return release;
 }
 
-/** The caller left before the call was sent to a server. */
+/** Ends a call whose caller disconnected, or whose deadline passed, before it was sent to a server. */
 void abandonWaitingCall(ServingState &state, Call &call, TimePoint now, Actions &actions)
 {
     const RequestId id = call.request.id;
@@ -91,7 +91,7 @@
         return;
     }
     if (found->second.stage != CallStage::Running) {
-        // The gateway has ended the call already: its caller left, or the deadline has passed.
+        // The gateway has already ended the call: its caller disconnected, or its deadline has passed.
         if (result.grant == 0) {
             abandonWaitingCall(state, found->second, now, actions);
         }
@@ -113,7 +113,7 @@
     } else if (mayRetry(state, call, result, now)) {
         actions.push_back(LogDecision{"retry", result.id, "", call.adapterName, 0, "", "attempt-failed"});
         call.poolRefusals = 0;
-        // Returned first, so that the pool's owner sees the failure before it chooses again.
+        // Returned before the next request, so that the owner of the pool knows of the failure when it chooses a server again.
         returnGrant(state, pool, release, now, actions);
         requestGrant(state, call, now, actions);
         return;
--- a/src/serving/calls.cpp
+++ b/src/serving/calls.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Longer than the change of a pool's owner, so that a crash of an owner delays calls instead of refusing them.
+// Longer than a change of ownership takes, so that calls are delayed and not refused when the owner of a pool crashes.
 constexpr Duration maximumPoolWait = seconds(5);
 constexpr Duration retryAfterNoCapacity = seconds(1);
-// A call asks this many pools before it waits for a change.
+// After this many refusals a call waits for the next tick instead of asking another pool.
 constexpr std::uint32_t maximumPoolRefusals = 3;
-// A running call whose end was not reported this long after its deadline is forgotten.
+// A running call whose result has not arrived this long after its deadline is removed.
 constexpr Duration resultGracePeriod = seconds(5);
 
 struct ResolvedRequest
@@ -24,12 +24,12 @@
 
 std::variant<ResolvedRequest, RefusalReason> resolve(const ServingState &state, const gateway::ServingRequest &request, TimePoint now)
 {
-    // Before the first renewal the configuration may be one from before a restart.
+    // Until freshness is first confirmed, the configuration may date from before a restart.
     if (!state.index.configuration || state.freshUntil == TimePoint{}) {
         return RefusalReason::ConfigurationStale;
     }
     const bool fresh = now < state.freshUntil;
-    // A key that was withdrawn must not be accepted, so without fresh configuration no key counts.
+    // Withdrawn keys must not be accepted, so no key is accepted while the configuration may be stale.
     std::optional<OrganisationId> organisation;
     if (fresh && request.keyHash) {
         organisation = admission::findKey(state.keys, *request.keyHash);
@@ -142,7 +142,7 @@
     if (call.recorded && outcome == CallOutcome::NotRun) {
         abandonRecord(call, actions);
     }
-    // What an attempt that may have run has generated is not known, so all of its reservation counts as used (P6).
+    // It is unknown how many tokens an attempt that may have run has generated, so the whole reservation counts as used (P6).
     const auto used = outcome == CallOutcome::Unknown ? static_cast<std::uint64_t>(call.reservedTokens) : 0;
     finishCall(state, id, used, now, actions);
 }
@@ -172,7 +172,7 @@
     admission::LeaseActions decided;
     const auto admission = admission::admit(state.quotas, admission::accountOf(call.organisation), {id, cost, now, call.deadline}, now, decided);
     if (admission != admission::Admission::Run) {
-        call.reservedTokens = 0; // taken when the call runs
+        call.reservedTokens = 0; // set again when the waiting call gets its tokens
     }
     if (admission == admission::Admission::Run) {
         requestGrant(state, call, now, actions);
@@ -190,7 +190,7 @@
         return; // tickCalls() tries again
     }
     routing::PoolSummary &pool = state.summaries[choice->pool];
-    // Until the next summary, the adapter is loaded where it was asked for, and not in another pool as well.
+    // Until the next summary the adapter counts as resident in this pool, so that further calls do not have it loaded in others too.
     const auto position = std::lower_bound(pool.resident.begin(), pool.resident.end(), call.adapter);
     if (call.adapter != AdapterId{} && (position == pool.resident.end() || *position != call.adapter)) {
         pool.resident.insert(position, call.adapter);
@@ -227,7 +227,7 @@
     const auto found = state.calls.find(grant.id);
     const control::BackendServer *server = findServer(state.index, grant.server);
     const bool wanted = found != state.calls.end() && found->second.stage == CallStage::AwaitingGrant && found->second.pool == pool;
-    // A new owner that has this instance's report does not know later grants of the earlier owner.
+    // The new owner knows the grants of the earlier owner only from this instance's report; a grant that arrives later must not be used.
     const auto reported = state.reportedFencing.find(pool);
     const bool outdated = reported != state.reportedFencing.end() && grant.fencing < reported->second;
     if (!wanted || server == nullptr || outdated) {
@@ -267,7 +267,7 @@
     if (mayTryOtherPool && ++call.poolRefusals < maximumPoolRefusals) {
         requestGrant(state, call, now, actions);
     } else if (refusal.reason == RefusalReason::NoCapacity) {
-        call.pool = PoolId{}; // waits for a usable pool
+        call.pool = PoolId{}; // tickCalls() tries again
     } else {
         refuseCall(state, refusal.id, refusal.reason, CallOutcome::NotRun, refusal.retryAfter, now, actions);
     }
@@ -283,7 +283,7 @@
     for (auto &[pool, reported] : state.reportedFencing) {
         const routing::PoolSummary *summary = findSummary(state, pool);
         if (summary != nullptr && summary->owner == peer) {
-            reported = 0; // the report may be lost; the owner gets it again
+            reported = 0; // the report may have been lost; it is sent again after the next summary
         }
     }
     std::vector<RequestId> waiting;
@@ -329,11 +329,11 @@
     for (const RequestId &id : expired) {
         const auto found = state.calls.find(id);
         if (found == state.calls.end()) {
-            continue; // ended by the end of another call
+            continue; // the end of another call has ended it too
         }
         const Call &call = found->second;
         if (call.abandoned) {
-            // The result of the BeginCall is lost.
+            // The result of the BeginCall did not arrive in time.
             abandonRecord(call, actions);
             finishCall(state, id, 0, now, actions);
             continue;
--- a/src/serving/pools.cpp
+++ b/src/serving/pools.cpp
@@ -59,7 +59,7 @@
     return line;
 }
 
-/** Turns the pool's order into one for the server's address; false when the configuration no longer has the server. */
+/** Sends an order of the pool to the address of its server. Returns false if the server or the adapter is no longer configured. */
 bool sendOrderToServer(ServingState &state, PoolId pool, const scheduling::Order &order, Actions &actions)
 {
     const control::BackendServer *server = findServer(state.index, order.server);
@@ -96,7 +96,7 @@
     return scheduling::OrderOutcome::Unknown;
 }
 
-/** Delivers a grant, or takes it back when the lease has run out since the request was queued. */
+/** Delivers a grant, or releases it and refuses the request if the lease has expired since the request was queued. */
 void deliverGrant(ServingState &state, PoolId pool, const scheduling::Grant &grant, scheduling::Actions &followUp, TimePoint now, Actions &actions)
 {
     if (!ownsPool(state, pool, now)) {
@@ -161,7 +161,7 @@
 
 void carryOut(ServingState &state, PoolId pool, scheduling::Actions &decided, TimePoint now, Actions &actions)
 {
-    // Delivering may change the pool again, for example when a grant is returned at once.
+    // Delivery may change the pool and cause further actions, for example when a grant is returned at once.
     while (!decided.empty()) {
         scheduling::Actions followUp;
         for (const scheduling::Action &action : decided) {
@@ -263,7 +263,7 @@
     }
 }
 
-/** Events that only the owner of the pool handles. */
+/** Handles messages that only the owner of the pool receives. */
 void handleAsOwner(ServingState &state, InstanceId from, const PoolMessage &message, TimePoint now, Actions &actions)
 {
     scheduling::PoolState &pool = state.pools.at(message.pool).state;
@@ -303,7 +303,7 @@
     } else if (const auto *acquire = std::get_if<scheduling::AcquireRequest>(&message.body); acquire != nullptr && !ownsPool(state, message.pool, now)) {
         refuseAsNonOwner(state, from, message.pool, acquire->id, now, actions);
     } else if (state.pools.contains(message.pool)) {
-        // Returned grants count after the lease has run out too: it may be renewed.
+        // Releases are processed after the lease has expired too, because it may be renewed.
         handleAsOwner(state, from, message, now, actions);
     }
 }
@@ -312,7 +312,7 @@
 {
     const auto *pool = std::get_if<PoolMessage>(&message);
     if (pool == nullptr) {
-        return; // token messages are repeated, and announcements come again
+        return; // token messages and announcements are sent again
     }
     if (const auto *acquire = std::get_if<scheduling::AcquireRequest>(&pool->body)) {
         if (routing::PoolSummary *summary = findSummary(state, pool->pool)) {
--- a/src/serving/records.cpp
+++ b/src/serving/records.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-// Command ids of one attempt to record a call: begin, complete, abandon. The request's sequence is spread to leave room for them.
+// Each attempt to record a call uses three command ids: begin, complete and abandon. The sequence number of the request is
+// multiplied by commandsPerCall, so that the ids of two calls never overlap.
 constexpr std::uint64_t commandsPerAttempt = 3;
 constexpr std::uint64_t commandsPerCall = 64;
 constexpr std::uint32_t maximumRecordAttempts = 20;
 static_assert(maximumRecordAttempts * commandsPerAttempt <= commandsPerCall);
 
-// The answer of a call reaches its caller before it is stored. A resend that follows at once waits for the record instead of
-// being refused as "in progress"; the record takes milliseconds, or an election.
+// An answer reaches its caller before it is stored. A resend that follows at once therefore waits for the record instead of
+// being refused as "in progress". Storing the record takes milliseconds, or as long as an election.
 constexpr Duration maximumInProgressWait = seconds(2);
 constexpr Duration recordRetryInterval = milliseconds(100);
 
@@ -104,7 +105,8 @@
     }
     call.stage = CallStage::AwaitingTokens;
     if (!result.committed) {
-        // The call itself was not sent, so "not run" is true; a record that was committed after all must not block a resend.
+        // The call was not sent to a server, so it is refused as not run. If the record was committed after all, it is withdrawn, as
+        // it would block a resend.
         call.recorded = mayExist;
         refuseCall(state, result.call, RefusalReason::NoQuorum, CallOutcome::NotRun, seconds(1), now, actions);
         return;
--- a/src/serving/servers.cpp
+++ b/src/serving/servers.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Ids of the adapters that an engine lists; names that the configuration does not know are left out. */
+/** Returns the sorted ids of the adapters that a server reported. Names that are not configured are skipped. */
 std::vector<AdapterId> adapterIds(const ServingState &state, std::string_view kind, const std::vector<std::string> &names)
 {
     std::vector<AdapterId> ids;
@@ -24,7 +24,7 @@
     return ids;
 }
 
-/** Passes an event of a server on to the owner of its pool. Returns the pool when this instance owns it. */
+/** Returns the pool of a server if this instance owns it. Otherwise forwards the event to the owner and returns a null pointer. */
 template<typename Event>
 scheduling::PoolState *ownPoolOrForward(ServingState &state, const control::BackendServer &server, const Event &event, TimePoint now, Actions &actions)
 {
@@ -51,7 +51,7 @@
     }
     const control::BackendServer *server = findDeclaredServer(state.index, announcement.name, announcement.address, announcement.kind);
     if (server == nullptr) {
-        return; // no work for undeclared servers
+        return; // undeclared servers get no work
     }
     scheduling::PoolState *pool = ownPoolOrForward(state, *server, announcement, now, actions);
     if (pool == nullptr) {
--- a/src/serving/serving.cpp
+++ b/src/serving/serving.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// Grants of earlier owners end at the deadline of their requests, which is at most this far away (docs/design.md, section 15).
+// A grant of an earlier owner ends at the deadline of its request, which is at most this far away (docs/design.md, section 15).
 constexpr Duration maximumRequestDeadline = seconds(600);
 constexpr Duration summaryInterval = milliseconds(250);
-// Summaries to other failure domains become rarer as the fleet grows, so that 132 pools cost each of 340 instances about 4 KB/s.
-// A choice by an old summary costs one refusal and another choice.
+// The interval of summaries to other failure domains grows with the number of instances: in a fleet of 340 instances, the
+// summaries of 132 pools take about 4 KB/s per instance. A choice based on an old summary costs one refusal and a second choice.
 constexpr Duration remoteIntervalPerInstance = milliseconds(10);
 constexpr Duration longestRemoteInterval = seconds(5);
-// Round trip to an instance of another failure domain, and within the same one.
+// Round-trip times to instances of another failure domain and of the same one.
 constexpr Duration remoteRoundTrip = milliseconds(2);
 constexpr Duration localRoundTrip = milliseconds(0);
 
@@ -43,7 +43,7 @@
     return found == pools.end() ? nullptr : &*found;
 }
 
-/** Keeps what is known of pools that the new configuration still has under the same owner. */
+/** Creates the summaries for a new configuration. Keeps the content of those whose pool has the same owner as before. */
 void rebuildSummaries(ServingState &state)
 {
     std::vector<routing::PoolSummary> before;
@@ -56,7 +56,7 @@
         if (known != before.end()) {
             summary = std::move(*known);
         } else {
-            summary.reachable = false; // until its owner has published a summary
+            summary.reachable = false; // until the owner publishes a summary
         }
         const control::FailureDomain *domain = findDomain(state.index, pool.domain);
         summary.pool = pool.id;
@@ -65,13 +65,13 @@
         summary.kind = pool.kind;
         summary.roundTrip = pool.domain == state.home ? localRoundTrip : remoteRoundTrip;
         if (domain == nullptr || domain->outOfService) {
-            summary.inService = false; // the owner's next summary says when it is back
+            summary.inService = false; // until a later summary of the owner reports it in service
         }
         state.summaries.push_back(std::move(summary));
     }
 }
 
-/** Each pool gets its part of the loads in flight, in proportion to its servers and at least one. */
+/** Returns the pool's share of the concurrent adapter loads: in proportion to its model servers, and at least one. */
 std::uint32_t loadsInFlightOf(const ServingState &state, const control::Pool &pool)
 {
     const control::Configuration &configuration = *state.index.configuration;
@@ -102,7 +102,7 @@
         carryOut(state, id, decided, now, actions);
     }
     for (const PoolId id : lostPools) {
-        // Waiting requests are refused as not run, so that their entry instances ask the new owner.
+        // Setting the pool out of service refuses its waiting requests as not run, so that their entry instances ask the new owner.
         scheduling::Actions decided;
         scheduling::setDeclaration(state.pools.at(id).state, {scheduling::ServiceState::Out, {}}, now, decided);
         carryOut(state, id, decided, now, actions);
@@ -110,7 +110,7 @@
     }
 }
 
-/** Time between two summaries to an instance of another failure domain. */
+/** Returns the interval of summaries to instances of other failure domains. */
 Duration remoteSummaryInterval(std::size_t instances) noexcept
 {
     return std::clamp<Duration>(remoteIntervalPerInstance * static_cast<std::int64_t>(instances), summaryInterval, longestRemoteInterval);
@@ -136,7 +136,7 @@
     }
 }
 
-/** An event of a server that another instance passed on. It is not passed on again, so that it cannot circulate. */
+/** Handles an event of a server that another instance forwarded. Does not forward it again, so that it cannot circulate. */
 template<typename Event>
 void handleForwarded(ServingState &state, const Event &event, TimePoint now, Actions &actions)
 {
@@ -160,7 +160,7 @@
     }
 }
 
-/** Returns all tokens once a shutdown has begun and the last call has ended; tokens that are kept would be lost. */
+/** Returns all tokens once a shutdown has begun and the last call has ended. Tokens that are still held at the exit are lost. */
 void returnTokens(ServingState &state, TimePoint now, Actions &actions)
 {
     if (!state.draining || state.tokensReturned || !state.calls.empty()) {
@@ -192,7 +192,7 @@
     state.quotas.home = home;
     state.buckets.self = self;
     state.buckets.domain = home;
-    // The routing index and the summaries point into the configuration, so the old one stays alive until both are replaced.
+    // The routing index and the summaries point into the configuration, so the old one must live until both are replaced.
     const auto previous = state.index.configuration;
     state.index = buildConfigurationIndex(std::move(configuration));
     const control::Configuration &current = *state.index.configuration;
@@ -207,7 +207,7 @@
             admission::setPeer(state.buckets, owner.domain, owner.owner, owner.fencing, now);
         }
         if (owner.domain == home && owner.owner != self && state.buckets.epoch != 0) {
-            static_cast<void>(admission::stopOwnership(state.buckets, now)); // the balance of a lost lease is not handed over
+            static_cast<void>(admission::stopOwnership(state.buckets, now)); // the balance under a lost lease must not be handed over
         }
     }
     rebuildSummaries(state);
@@ -232,7 +232,7 @@
     }
     if (found != state.pools.end()) {
         found->second.ownedUntil = now;
-        refuseWaiting(state, lease.pool, now, actions); // the new state does not know them
+        refuseWaiting(state, lease.pool, now, actions); // the new pool state does not contain them
     }
     scheduling::SchedulingSettings settings;
     settings.seed = state.random();
@@ -254,7 +254,7 @@
     scheduling::Actions decided;
     scheduling::setDeclaration(state.pools.at(lease.pool).state, declarationOf(state, *pool), now, decided);
     carryOut(state, lease.pool, decided, now, actions);
-    state.nextSummariesAt = now; // tells the other instances at once
+    state.nextSummariesAt = now; // announces the new owner without delay
     state.nextRemoteSummariesAt = now;
 }
 
--- a/src/serving/tokens.cpp
+++ b/src/serving/tokens.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// A pool asks again on its next tick when a token was not obtained in this time.
+// If no token is granted within this time, the pool requests one again on its next tick.
 constexpr Duration loadTokenTimeout = seconds(10);
 
-/** Continues what waited for tokens: a call, or a pool that wants to load an adapter. */
+/** Resumes the call, or the adapter load of a pool, that waited for tokens under this id. */
 void resumeWaiting(ServingState &state, const RequestId &id, TimePoint now, Actions &actions)
 {
     const auto found = state.calls.find(id);
@@ -45,7 +45,7 @@
     }
 }
 
-/** Delivers a token message; those to this instance itself are handled at once. */
+/** Sends a token message, or handles it directly if it is addressed to this instance. */
 void deliver(ServingState &state, InstanceId to, PeerMessage message, TimePoint now, Actions &actions)
 {
     if (to == state.self) {
@@ -155,7 +155,7 @@
 {
     state.bucketsOwnedUntil = ownedUntil;
     if (fencing != 0 && state.buckets.epoch != fencing) {
-        // The lease starts only after the old owner's has run out.
+        // A lease is granted only after that of the previous owner has ended, so its end is passed as now.
         admission::startOwnership(state.buckets, fencing, now, now);
     }
 }
