--- a/tests/serving/fleet.h
+++ b/tests/serving/fleet.h
@@ -227,18 +227,18 @@
     {
         for (const auto &[id, call] : calls) {
             check(call.finalReplies == 1, call.finalReplies == 0 ? "no final reply" : "more than one final reply");
-            check(call.repeatable || call.runs <= 1, "P11: a call that may not repeat ran twice");
+            check(call.repeatable || call.runs <= 1, "P11: a non-repeatable call ran twice");
         }
         for (const auto &[key, runs] : runsByKey) {
-            check(runs <= 1, "P11: an idempotency key ran twice");
+            check(runs <= 1, "P11: two calls with the same idempotency key ran");
         }
         for (std::size_t i = 0; i < states.size(); ++i) {
-            check(down.contains(i) || states[i].calls.empty(), "a call was left behind");
+            check(down.contains(i) || states[i].calls.empty(), "a call remains in an instance after the end");
             for (const auto &[id, owned] : states[i].pools) {
                 const bool idle = std::all_of(owned.state.records.begin(), owned.state.records.end(), [](const scheduling::RequestRecord &record) {
                     return record.phase == scheduling::RequestPhase::Free;
                 });
-                check(down.contains(i) || idle, "a request or a grant was left behind in a pool");
+                check(down.contains(i) || idle, "a request or a grant remains in a pool after the end");
             }
         }
     }
@@ -289,8 +289,8 @@
     {
         TrackedCall &call = calls.at(reply.reply.id);
         if (const auto *grant = std::get_if<gateway::ServingGrant>(&reply.reply.content)) {
-            check(call.finalReplies == 0 && !call.grant, "a grant for a call that has ended or runs");
-            check(grant->adapter == call.expectedAdapter, "P1 or P3: granted another adapter, or without permission");
+            check(call.finalReplies == 0 && !call.grant, "a call that has ended or is running got a grant");
+            check(grant->adapter == call.expectedAdapter, "P1 or P3: a call got a grant for another adapter, or without permission");
             call.grant = *grant;
             call.servers.push_back(grant->address);
             if (!grant->adapter.empty() && !resident[grant->address].contains(grant->adapter)) {
@@ -303,7 +303,7 @@
         ++call.finalReplies;
         if (const auto *refusal = std::get_if<gateway::ServingRefusal>(&reply.reply.content)) {
             call.refusal = *refusal;
-            check(refusal->outcome != CallOutcome::NotRun || call.runs == 0, "P10: refused as not run after it ran");
+            check(refusal->outcome != CallOutcome::NotRun || call.runs == 0, "P10: a call was refused as not run after it ran");
         } else {
             call.stored = std::get<gateway::StoredAnswer>(reply.reply.content);
         }
--- a/tests/serving/owners.cpp
+++ b/tests/serving/owners.cpp
@@ -6,8 +6,9 @@
 using namespace mimosahollow::serving;
 using Outcome = gateway::AttemptOutcome;
 
-// Guards against calls that hang with a lost owner, two owners that grant, and a new owner that overloads a server.
-TEST_CASE("a pool owner is lost")
+// Guards against calls that wait forever when the owner of a pool crashes, against grants of two owners at a time after a lease
+// has expired, and against a new owner that overloads a server because it does not know of the running calls.
+TEST_CASE("a pool owner crashes or loses its lease")
 {
     Fleet fleet;
     fleet.start();
@@ -16,7 +17,7 @@
     fleet.advance(milliseconds(100));
     REQUIRE_FALSE(fleet.running(waiting));
 
-    SECTION("waiting calls go elsewhere, running ones go on, and the new owner knows them")
+    SECTION("waiting calls ask another pool, running calls continue, and the new owner knows of them")
     {
         const std::size_t owner = number(fleet.states[0].calls.at(waiting).owner) - 1;
         fleet.stop(owner);
@@ -32,7 +33,7 @@
         });
         REQUIRE(granted == 4);
     }
-    SECTION("nothing is granted after the lease has run out, and calls look elsewhere")
+    SECTION("nothing is granted after the lease has expired, and calls ask another pool")
     {
         for (routing::PoolSummary &summary : fleet.states[1].summaries) {
             summary.reachable = summary.domain == DomainId{1}; // until the next summary, so that the call asks the local pool
@@ -63,13 +64,13 @@
     requireNoViolations(fleet);
 }
 
-// Guards against a server that gets work which its present owner does not know of, and against engines believed to hold an
-// adapter that they do not hold.
-TEST_CASE("messages that another owner or configuration has overtaken")
+// Guards against calls on a server of which the present pool owner does not know, and against adapters that count as loaded
+// although they are not. Both come about when a message arrives after a change of the owner or of the configuration.
+TEST_CASE("messages that arrive after a change of owner or configuration")
 {
     Fleet fleet;
     fleet.start();
-    SECTION("a grant of the earlier owner that arrives after the report to the new one is not used")
+    SECTION("a grant of the earlier owner that arrives after the grant report to the new owner is not used")
     {
         const RequestId id = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.deliver(1);
@@ -85,7 +86,7 @@
         REQUIRE(fleet.calls[id].grant->fencing == fleet.configuration.pools[1].fencing);
         fleet.finish(id, Outcome::Completed);
     }
-    SECTION("the result of an order of the earlier ownership is not taken for one of the present")
+    SECTION("the result of an order of an earlier ownership is not attributed to an order of the present one")
     {
         ServingState &owner = fleet.states[0];
         fleet.holdOrders = true;
@@ -112,7 +113,7 @@
         REQUIRE(fleet.running(id));
         fleet.finish(id, Outcome::Completed);
     }
-    SECTION("a grant for a server that the entry instance does not know is returned, and the call goes elsewhere")
+    SECTION("a grant for a server that the entry instance does not know is returned, and the call is granted again")
     {
         auto without = std::make_shared<control::Configuration>(fleet.configuration);
         without->servers.erase(without->servers.begin() + 1);
--- a/tests/serving/randomrun.cpp
+++ b/tests/serving/randomrun.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t seed = 20'240'611;
 constexpr int events = 6000;
-// One deadline of a call (20 s), the grace of a lost report (5 s), and the time of the last messages.
+// The deadline of a call (20 s), the grace period for a missing result (5 s), and 2 s for the last messages.
 constexpr Duration settleTime = seconds(27);
 
 struct Random
@@ -132,7 +132,7 @@
     fleet.loseCommitAnswers = false;
     fleet.configure();
     fleet.advance(settleTime);
-    // No place, token or route is lost for good.
+    // Further calls on each instance run, so no slot, token or pool has been lost.
     for (std::size_t entry = 0; entry < 4; ++entry) {
         const std::array ids{fleet.callModel(entry, "base:greeting", 1, "greeting@1"), fleet.callPlainService(entry, "/registry/x", 1)};
         fleet.advance(seconds(3));
@@ -154,8 +154,8 @@
 
 } // namespace
 
-// Guards against rules that hold for each event alone but not for sequences of them.
-TEST_CASE("a random run breaks no rule")
+// Guards against violations that only arise from sequences of events: calls, failures, and changes of owners and configuration.
+TEST_CASE("a random sequence of events violates no property")
 {
     WARN("seed " << seed);
     Fleet fleet;
@@ -168,18 +168,18 @@
     for (const auto &[id, call] : fleet.calls) {
         completed += call.runs > 0 ? 1 : 0;
     }
-    REQUIRE(completed > 200); // a run that refuses everything would prove nothing
+    REQUIRE(completed > 200); // a run in which most calls are refused would not exercise the properties
 }
 
-// Guards against a checker that sees nothing.
-TEST_CASE("the checker catches broken variants")
+// Guards against checks in the simulation that detect nothing: injected faults must be reported.
+TEST_CASE("the checks detect injected faults")
 {
     Fleet fleet;
-    SECTION("a grant that is delivered twice")
+    SECTION("a call that runs twice under one grant")
     {
         fleet.runsGrantsTwice = true;
     }
-    SECTION("a retry of a call that may not repeat")
+    SECTION("a retry of a call that is not repeatable")
     {
         fleet.repeatsEverything = true;
     }
--- a/tests/serving/rules.cpp
+++ b/tests/serving/rules.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Tokens that an instance has spent and not given back in its present sessions. */
+/** Returns the tokens that an instance has spent in its present quota leases, less its refunds. */
 double netSpent(const ServingState &state, OrganisationId organisation)
 {
     const admission::AccountId account = admission::accountOf(organisation);
@@ -22,8 +22,9 @@
 
 } // namespace
 
-// Guards against calls that run on another adapter, for another organisation, or with a key that counts no more.
-TEST_CASE("only permitted calls run, on what they asked for")
+// Guards against calls that run with another adapter than requested, without permission of their organisation, or with a
+// withdrawn key.
+TEST_CASE("only permitted calls run, with the adapter that they requested")
 {
     Fleet fleet;
     fleet.configure();
@@ -31,7 +32,7 @@
     REQUIRE(fleet.refused(early) == RefusalReason::ConfigurationStale);
     fleet.start();
 
-    SECTION("P1: the named version, or the default one, on an engine that has it")
+    SECTION("P1: the named version, or the default one, on a server that has loaded it")
     {
         const RequestId second = fleet.callModel(1, "base:greeting@2", 1, "greeting@2");
         const RequestId first = fleet.callModel(3, "base:greeting", 1, "greeting@1");
@@ -41,20 +42,20 @@
         fleet.finish(second, Outcome::Completed);
         fleet.finish(first, Outcome::Completed);
     }
-    SECTION("P3: an unknown key, an adapter or a route of another organisation")
+    SECTION("P3: an unknown key, or an adapter or a route of another organisation, is refused")
     {
         REQUIRE(fleet.refused(fleet.callModel(0, "base:greeting", 9, Fleet::forbidden)) == RefusalReason::InvalidKey);
         REQUIRE(fleet.refused(fleet.callModel(0, "base:greeting", 2, Fleet::forbidden)).has_value());
         REQUIRE(fleet.refused(fleet.callPlainService(0, "/registry/x", 2, "", Fleet::forbidden)).has_value());
         REQUIRE(fleet.refused(fleet.callPlainService(0, "/registry/x", std::nullopt, "", Fleet::forbidden)) == RefusalReason::InvalidKey);
     }
-    SECTION("P5: a withdrawn key is refused from the configuration on")
+    SECTION("P5: a withdrawn key is refused as soon as the configuration is applied")
     {
         fleet.configuration.keys.erase(fleet.configuration.keys.begin());
         fleet.configure();
         REQUIRE(fleet.refused(fleet.callModel(0, "base:greeting", 1, Fleet::forbidden)) == RefusalReason::InvalidKey);
     }
-    SECTION("a stale configuration serves open routes only")
+    SECTION("with a stale configuration only open routes are served")
     {
         fleet.stale.insert(0);
         fleet.advance(seconds(11));
@@ -69,8 +70,8 @@
     requireNoViolations(fleet);
 }
 
-// Guards against new work on servers that were taken out, and against calls that are lost with them.
-TEST_CASE("P8 and P12: what is taken out gets no new work")
+// Guards against new calls on servers that were taken out of service, and against the loss of calls that run there.
+TEST_CASE("P8 and P12: servers and failure domains out of service get no new calls")
 {
     Fleet fleet;
     fleet.start();
@@ -99,7 +100,7 @@
     requireNoViolations(fleet);
 }
 
-// Guards against a shutdown that cuts calls or keeps the tokens of its organisations.
+// Guards against a shutdown that aborts running calls, or that loses the unused tokens of organisations.
 TEST_CASE("P13: an instance shuts down while a call runs")
 {
     Fleet fleet;
@@ -113,7 +114,7 @@
     REQUIRE(fleet.refused(fleet.callModel(0, "base:greeting", 1, "greeting@1")) == RefusalReason::ShuttingDown);
     REQUIRE_FALSE(fleet.states[0].tokensReturned);
 
-    SECTION("the call ends, and then the tokens are returned")
+    SECTION("the tokens are returned when the call has ended")
     {
         fleet.finish(id, Outcome::Completed);
         fleet.advance(milliseconds(100));
@@ -123,12 +124,13 @@
     }
 }
 
-// Guards against a second run and against "not run" about a call that ran.
+// Guards against retries that run a non-repeatable call twice, against the refusal "not run" for a call that may have run, and
+// against retries without limit.
 TEST_CASE("failed attempts")
 {
     Fleet fleet;
     fleet.start();
-    SECTION("P11: a call that may not repeat is not sent again after a byte of it was sent")
+    SECTION("P11: a non-repeatable call is not sent again after a byte of it was sent")
     {
         const RequestId id = fleet.callPlainService(0, "/registry/x", 1);
         fleet.advance(milliseconds(100));
@@ -136,7 +138,7 @@
         fleet.advance(seconds(1));
         REQUIRE(fleet.calls[id].refusal->outcome == CallOutcome::Unknown);
     }
-    SECTION("it is sent again when the connection was refused")
+    SECTION("a non-repeatable call is sent again when the connection was refused")
     {
         const RequestId id = fleet.callPlainService(0, "/registry/x", 1);
         fleet.advance(milliseconds(100));
@@ -145,7 +147,7 @@
         REQUIRE(fleet.running(id));
         fleet.finish(id, Outcome::Completed);
     }
-    SECTION("P10: a call that may have run is not refused as not run when no retry finds a server")
+    SECTION("P10: a call that may have run is not refused as not run when a retry finds no server")
     {
         const RequestId id = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.advance(milliseconds(100));
@@ -156,13 +158,13 @@
         fleet.advance(seconds(21));
         REQUIRE(fleet.calls[id].refusal->outcome == CallOutcome::Unknown);
     }
-    SECTION("P6: a call that may have run gets no tokens back when it is refused")
+    SECTION("P6: no tokens are refunded for a refused call that may have run")
     {
         const RequestId id = fleet.callModel(0, "base:greeting", 1, "greeting@1");
         fleet.advance(seconds(2));
         REQUIRE(fleet.running(id));
         const double before = netSpent(fleet.states[0], OrganisationId{1});
-        // The retries come within milliseconds, so that the quota lease is still the same one at the end.
+        // The retries take milliseconds, so the quota lease is still the same one at the end.
         for (int attempt = 0; attempt < 10 && !fleet.calls[id].refusal; ++attempt) {
             if (fleet.running(id)) {
                 fleet.finish(id, Outcome::FailedBeforeAnswer);
@@ -173,7 +175,7 @@
         REQUIRE(fleet.calls[id].refusal->outcome == CallOutcome::Unknown);
         REQUIRE(netSpent(fleet.states[0], OrganisationId{1}) == Approx(before));
     }
-    SECTION("retries stay within the budget, the attempts and the deadline")
+    SECTION("retries are limited by the retry budget, the number of attempts and the deadline")
     {
         fleet.states[0].retryBudget.balance = admission::retryReserve;
         const RequestId hopeless = fleet.callPlainService(0, "/open/x", std::nullopt);
@@ -195,7 +197,7 @@
             REQUIRE(fleet.calls[id].runs <= 3);
             attempts += fleet.calls[id].runs;
         }
-        REQUIRE(attempts <= calls + calls / 10 + 1); // 10 % and the one that a new budget holds
+        REQUIRE(attempts <= calls + calls / 10 + 1); // retries of 10 % of the calls, and the one that a new budget contains
         fleet.advance(seconds(10));
         const RequestId late = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.advance(milliseconds(100));
@@ -203,23 +205,24 @@
         fleet.finish(late, Outcome::FailedBeforeAnswer);
         REQUIRE(fleet.refused(late) == RefusalReason::DeadlineExceeded);
     }
-    SECTION("tokens that were not used return")
+    SECTION("unused tokens are refunded")
     {
         const RequestId id = fleet.callModel(0, "base:greeting", 1, "greeting@1");
         fleet.advance(seconds(2));
         REQUIRE(fleet.running(id));
         const double before = netSpent(fleet.states[0], OrganisationId{1});
-        fleet.finish(id, Outcome::Completed); // 5 of the 10 output tokens
+        fleet.finish(id, Outcome::Completed); // 5 of the 10 output tokens were used
         REQUIRE(netSpent(fleet.states[0], OrganisationId{1}) == Approx(before - 5));
     }
     fleet.advance(milliseconds(100));
     requireNoViolations(fleet);
 }
 
-// A resend waits up to 2 s for the record of the first call before it is refused as in progress.
+// Longer than the 2 s for which a resend waits for the record of the first call before it is refused as in progress.
 constexpr Duration resendWait = milliseconds(2500);
 
-// Guards against a second run of a call with an idempotency key, and against records that block a resend for nothing.
+// Guards against a second run of a call with an idempotency key, and against records of calls that did not run, which would
+// block a resend.
 TEST_CASE("P11: calls with an idempotency key")
 {
     Fleet fleet;
@@ -239,7 +242,7 @@
         REQUIRE(fleet.calls[after].stored->body == "answer");
         REQUIRE(fleet.refused(other) == RefusalReason::IdempotencyConflict);
     }
-    SECTION("a resend that comes before the answer is stored waits for it")
+    SECTION("a resend that arrives before the answer is stored waits for it")
     {
         const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
@@ -261,7 +264,7 @@
         REQUIRE(fleet.calls[again].refusal.has_value());
         REQUIRE(fleet.calls[again].refusal->outcome == CallOutcome::Unknown);
     }
-    SECTION("after a lost reply of the server a resend does not run")
+    SECTION("a resend does not run after the reply of the server was lost")
     {
         const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
@@ -270,7 +273,7 @@
         fleet.advance(resendWait);
         REQUIRE(fleet.calls[again].refusal->outcome == CallOutcome::Unknown);
     }
-    SECTION("a commit whose answer is lost does not run, and a resend does")
+    SECTION("a call does not run when the result of its commit is lost, and a resend runs")
     {
         fleet.loseCommitAnswers = true;
         const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
@@ -282,7 +285,7 @@
         REQUIRE(fleet.running(again));
         fleet.finish(again, Outcome::Completed);
     }
-    SECTION("a caller that leaves, or a deadline that ends, during the commit does not block a resend")
+    SECTION("a caller that disconnects, or a deadline that passes, during the commit does not block a resend")
     {
         fleet.holdCommits = true;
         const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
@@ -305,8 +308,8 @@
     requireNoViolations(fleet);
 }
 
-// Guards against tokens, places and calls that stay behind when a caller leaves.
-TEST_CASE("a caller leaves while its call waits")
+// Guards against calls and queued requests that remain after their caller has disconnected.
+TEST_CASE("a caller disconnects while its call waits")
 {
     Fleet fleet;
     SECTION("for tokens")
--- a/tests/serving/summaries.cpp
+++ b/tests/serving/summaries.cpp
@@ -30,7 +30,7 @@
     return std::make_shared<control::Configuration>(std::move(configuration));
 }
 
-/** Summaries that one instance of the own and of the other failure domain receive in @p duration. */
+/** Counts the summaries that an instance of the same and one of the other failure domain receive within @p duration. */
 std::pair<int, int> countSummaries(std::uint32_t instances, Duration duration)
 {
     ServingState state = makeServingState(1, 1);
@@ -57,16 +57,16 @@
 
 } // namespace
 
-// Guards against control traffic that grows with the square of the fleet: 132 pools x 4 summaries a second would be 53 KB/s.
-TEST_CASE("summaries to other failure domains become rarer as the fleet grows")
+// Guards against summary traffic that grows with the square of the fleet: 132 pools x 4 summaries a second would be 53 KB/s.
+TEST_CASE("the interval of summaries to other failure domains grows with the fleet")
 {
-    SECTION("a small fleet hears of every pool four times a second")
+    SECTION("in a small fleet every instance receives four summaries of each pool a second")
     {
         const auto [local, remote] = countSummaries(17, seconds(10));
         REQUIRE(local == 40);
         REQUIRE(remote >= 39);
     }
-    SECTION("at the expected size other failure domains hear every 3.5 s, the own one as often as before")
+    SECTION("in a fleet of 340 instances other failure domains receive a summary every 3.5 s, and the same one four a second")
     {
         const auto [local, remote] = countSummaries(340, seconds(20));
         REQUIRE(local == 80);
