--- a/src/serving/calls.cpp
+++ b/src/serving/calls.cpp
@@ -226,13 +226,13 @@
 {
     const auto found = state.calls.find(grant.id);
     const control::BackendServer *server = findServer(state.index, grant.server);
-    const bool wanted = found != state.calls.end() && found->second.stage == CallStage::AwaitingGrant && found->second.pool == pool;
+    const bool isAwaited = found != state.calls.end() && found->second.stage == CallStage::AwaitingGrant && found->second.pool == pool;
     // The new owner knows the grants of the earlier owner only from this instance's report; a grant that arrives later must not be used.
     const auto reported = state.reportedFencing.find(pool);
     const bool outdated = reported != state.reportedFencing.end() && grant.fencing < reported->second;
-    if (!wanted || server == nullptr || outdated) {
+    if (!isAwaited || server == nullptr || outdated) {
         returnGrant(state, pool, {grant.id, grant.grant, grant.fencing, scheduling::ReleaseOutcome::NotSent, 0, {}}, now, actions);
-        if (wanted) {
+        if (isAwaited) {
             onRefusal(state, pool, {grant.id, state.self, RefusalReason::NoCapacity, {}}, now, actions);
         }
         return;
@@ -296,13 +296,13 @@
         requestGrant(state, state.calls.at(id), now, actions);
     }
     for (auto &[pool, owned] : state.pools) {
-        std::vector<RequestId> orphaned;
+        std::vector<RequestId> orphanedRequests;
         for (const scheduling::RequestRecord &record : owned.state.records) {
             if (record.phase == scheduling::RequestPhase::Waiting && record.request.entry == peer) {
-                orphaned.push_back(record.request.id);
+                orphanedRequests.push_back(record.request.id);
             }
         }
-        for (const RequestId &id : orphaned) {
+        for (const RequestId &id : orphanedRequests) {
             onCancel(state, pool, id, now, actions);
         }
     }
--- a/src/serving/pools.cpp
+++ b/src/serving/pools.cpp
@@ -291,8 +291,8 @@
 {
     if (const auto *grant = std::get_if<scheduling::Grant>(&message.body)) {
         const auto call = state.calls.find(grant->id);
-        const bool asked = call != state.calls.end() && call->second.owner == from;
-        onGrant(state, asked ? call->second.pool : poolOfServer(state, grant->server), *grant, now, actions);
+        const bool isFromOwner = call != state.calls.end() && call->second.owner == from;
+        onGrant(state, isFromOwner ? call->second.pool : poolOfServer(state, grant->server), *grant, now, actions);
     } else if (const auto *refusal = std::get_if<scheduling::Refusal>(&message.body)) {
         const auto call = state.calls.find(refusal->id);
         if (call != state.calls.end() && call->second.owner == from) {
--- a/src/serving/serving.cpp
+++ b/src/serving/serving.cpp
@@ -16,7 +16,7 @@
 // The interval of summaries to other failure domains grows with the number of instances: in a fleet of 340 instances, the
 // summaries of 132 pools take about 4 KB/s per instance. A choice based on an old summary costs one refusal and a second choice.
 constexpr Duration remoteIntervalPerInstance = milliseconds(10);
-constexpr Duration longestRemoteInterval = seconds(5);
+constexpr Duration maximumRemoteInterval = seconds(5);
 // Round-trip times to instances of another failure domain and of the same one.
 constexpr Duration remoteRoundTrip = milliseconds(2);
 constexpr Duration localRoundTrip = milliseconds(0);
@@ -46,14 +46,14 @@
 /** Creates the summaries for a new configuration. Keeps the content of those whose pool has the same owner as before. */
 void rebuildSummaries(ServingState &state)
 {
-    std::vector<routing::PoolSummary> before;
-    before.swap(state.summaries);
+    std::vector<routing::PoolSummary> previous;
+    previous.swap(state.summaries);
     for (const control::Pool &pool : state.index.configuration->pools) {
-        const auto known = std::find_if(before.begin(), before.end(), [&](const routing::PoolSummary &summary) {
+        const auto known = std::find_if(previous.begin(), previous.end(), [&](const routing::PoolSummary &summary) {
             return summary.pool == pool.id && summary.owner == pool.owner;
         });
         routing::PoolSummary summary;
-        if (known != before.end()) {
+        if (known != previous.end()) {
             summary = std::move(*known);
         } else {
             summary.reachable = false; // until the owner publishes a summary
@@ -113,14 +113,14 @@
 /** Returns the interval of summaries to instances of other failure domains. */
 Duration remoteSummaryInterval(std::size_t instances) noexcept
 {
-    return std::clamp<Duration>(remoteIntervalPerInstance * static_cast<std::int64_t>(instances), summaryInterval, longestRemoteInterval);
+    return std::clamp<Duration>(remoteIntervalPerInstance * static_cast<std::int64_t>(instances), summaryInterval, maximumRemoteInterval);
 }
 
 void publishSummaries(ServingState &state, TimePoint now, Actions &actions)
 {
     const auto &instances = state.index.configuration->instances;
-    const bool remoteToo = now >= state.nextRemoteSummariesAt;
-    if (remoteToo) {
+    const bool includeRemote = now >= state.nextRemoteSummariesAt;
+    if (includeRemote) {
         state.nextRemoteSummariesAt = now + remoteSummaryInterval(instances.size());
     }
     for (auto &[id, owned] : state.pools) {
@@ -129,7 +129,7 @@
         }
         const scheduling::PoolSummary summary = scheduling::summarise(owned.state, now);
         for (const control::Instance &instance : instances) {
-            if (instance.id != state.self && (remoteToo || instance.domain == state.home)) {
+            if (instance.id != state.self && (includeRemote || instance.domain == state.home)) {
                 actions.push_back(SendToPeer{instance.id, PoolMessage{id, summary}});
             }
         }
--- a/tests/serving/fleet.h
+++ b/tests/serving/fleet.h
@@ -382,10 +382,10 @@
                 }
                 const control::BackendServer &server = configuration.servers[i];
                 const auto &adapters = resident[server.address];
-                const gateway::BackendAnnouncement hello{
+                const gateway::BackendAnnouncement announcement{
                     server.name, server.address, "", server.kind, 1, 4, 2, 4, true, false, {adapters.begin(), adapters.end()}};
-                handle(states[i], hello, now, actions);
-                handle(states[i], gateway::BackendReport{server.name, 1, 0, 0, hello.adapters}, now, actions);
+                handle(states[i], announcement, now, actions);
+                handle(states[i], gateway::BackendReport{server.name, 1, 0, 0, announcement.adapters}, now, actions);
             });
             if (i % 2 == 0) {
                 setBucketLease(states[i], i / 2 + 1, now + seconds(3), now);
--- a/tests/serving/rules.cpp
+++ b/tests/serving/rules.cpp
@@ -178,12 +178,12 @@
     SECTION("retries are limited by the retry budget, the number of attempts and the deadline")
     {
         fleet.states[0].retryBudget.balance = admission::retryReserve;
-        const RequestId hopeless = fleet.callPlainService(0, "/open/x", std::nullopt);
-        while (fleet.calls[hopeless].finalReplies == 0) {
+        const RequestId failing = fleet.callPlainService(0, "/open/x", std::nullopt);
+        while (fleet.calls[failing].finalReplies == 0) {
             fleet.advance(milliseconds(100));
-            fleet.finish(hopeless, Outcome::FailedBeforeAnswer);
+            fleet.finish(failing, Outcome::FailedBeforeAnswer);
         }
-        REQUIRE(fleet.calls[hopeless].runs == 3);
+        REQUIRE(fleet.calls[failing].runs == 3);
 
         fleet.states[0].retryBudget = {};
         unsigned attempts = 0;
@@ -246,11 +246,11 @@
     {
         const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
-        const RequestId again = fleet.callPlainService(3, "/registry/x", 1, "key");
+        const RequestId resend = fleet.callPlainService(3, "/registry/x", 1, "key");
         fleet.advance(milliseconds(500));
         fleet.finish(first, Outcome::Completed);
         fleet.advance(milliseconds(500));
-        REQUIRE(fleet.calls[again].stored->body == "answer");
+        REQUIRE(fleet.calls[resend].stored->body == "answer");
     }
     SECTION("an answer that is too large to be stored is not replaced by an empty one")
     {
@@ -259,19 +259,19 @@
         fleet.advance(milliseconds(100));
         fleet.finish(first, Outcome::Completed);
         fleet.advance(milliseconds(100));
-        const RequestId again = fleet.callPlainService(2, "/registry/x", 1, "key");
+        const RequestId resend = fleet.callPlainService(2, "/registry/x", 1, "key");
         fleet.advance(resendWait);
-        REQUIRE(fleet.calls[again].refusal.has_value());
-        REQUIRE(fleet.calls[again].refusal->outcome == CallOutcome::Unknown);
+        REQUIRE(fleet.calls[resend].refusal.has_value());
+        REQUIRE(fleet.calls[resend].refusal->outcome == CallOutcome::Unknown);
     }
     SECTION("a resend does not run after the reply of the server was lost")
     {
         const RequestId first = fleet.callPlainService(0, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
         fleet.finish(first, Outcome::FailedBeforeAnswer);
-        const RequestId again = fleet.callPlainService(2, "/registry/x", 1, "key");
+        const RequestId resend = fleet.callPlainService(2, "/registry/x", 1, "key");
         fleet.advance(resendWait);
-        REQUIRE(fleet.calls[again].refusal->outcome == CallOutcome::Unknown);
+        REQUIRE(fleet.calls[resend].refusal->outcome == CallOutcome::Unknown);
     }
     SECTION("a call does not run when the result of its commit is lost, and a resend runs")
     {
@@ -280,10 +280,10 @@
         fleet.advance(milliseconds(100));
         REQUIRE(fleet.refused(first) == RefusalReason::NoQuorum);
         fleet.loseCommitAnswers = false;
-        const RequestId again = fleet.callPlainService(2, "/registry/x", 1, "key");
+        const RequestId resend = fleet.callPlainService(2, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
-        REQUIRE(fleet.running(again));
-        fleet.finish(again, Outcome::Completed);
+        REQUIRE(fleet.running(resend));
+        fleet.finish(resend, Outcome::Completed);
     }
     SECTION("a caller that disconnects, or a deadline that passes, during the commit does not block a resend")
     {
@@ -299,10 +299,10 @@
             commit();
         }
         fleet.advance(milliseconds(100));
-        const RequestId again = fleet.callPlainService(2, "/registry/x", 1, "key");
+        const RequestId resend = fleet.callPlainService(2, "/registry/x", 1, "key");
         fleet.advance(milliseconds(100));
-        REQUIRE(fleet.running(again));
-        fleet.finish(again, Outcome::Completed);
+        REQUIRE(fleet.running(resend));
+        fleet.finish(resend, Outcome::Completed);
     }
     fleet.advance(milliseconds(100));
     requireNoViolations(fleet);
