--- a/tests/scheduling/propertychecker.h
+++ b/tests/scheduling/propertychecker.h
@@ -24,7 +24,7 @@
         std::uint32_t slots = 0;
         std::uint32_t coldLimit = 1;
         std::uint32_t limit = 1; /**< What the server bears. */
-        std::uint32_t good = 0;
+        std::uint32_t goodResponses = 0;
         std::uint32_t epoch = 0;
         bool hasBaseline = false; /**< The present owner has seen its normal latency. */
         std::set<AdapterId> adapters; /**< Resident as far as the owner was told. */
@@ -58,20 +58,20 @@
     }
 
     /** @p good: a fast complete answer; @p cold: an outcome that shows a cold server. */
-    void ended(const Running &call, bool good, bool cold)
+    void callEnded(const Running &call, bool good, bool cold)
     {
         Server &server = servers[call.grant.server];
         server.hasBaseline = server.hasBaseline || (call.epoch == server.epoch && good);
         if (call.epoch == server.epoch && cold) {
             resetLimit(server);
-        } else if (call.epoch == server.epoch && good && server.limit < server.slots && ++server.good >= server.limit) {
+        } else if (call.epoch == server.epoch && good && server.limit < server.slots && ++server.goodResponses >= server.limit) {
             server.limit = std::min(server.limit * 2, server.slots);
-            server.good = 0;
+            server.goodResponses = 0;
         }
         running.erase(call.request.id);
     }
 
-    void ordered(std::uint64_t number, OrderOutcome outcome)
+    void orderEnded(std::uint64_t number, OrderOutcome outcome)
     {
         const auto found = orders.find(number);
         Server &server = servers[found->second.server];
@@ -108,7 +108,7 @@
         }
     }
 
-    [[nodiscard]] bool takesWork(ServerId id) const
+    [[nodiscard]] bool isInService(ServerId id) const
     {
         const auto found = servers.find(id);
         return domain == ServiceState::InService && found != servers.end() && found->second.declared == ServiceState::InService && !found->second.leaving;
@@ -125,7 +125,7 @@
     static void resetLimit(Server &server)
     {
         server.limit = std::min(server.coldLimit, server.slots);
-        server.good = 0;
+        server.goodResponses = 0;
         ++server.epoch;
     }
 
@@ -146,7 +146,7 @@
         const Server &server = servers[grant.server];
         require(grant.adapter == request->second.adapter, "P1");
         require(number(grant.adapter) == 0 || server.adapters.contains(grant.adapter), "P1");
-        require(takesWork(grant.server), "P8 or P12");
+        require(isInService(grant.server), "P8 or P12");
         running[grant.id] = {request->second, grant, server.epoch, false};
         waiting.erase(request);
         require(inUse(grant.server, AdapterId{}) <= server.limit, "P7");
@@ -161,7 +161,7 @@
     {
         orders[order.order] = order;
         if (order.kind == OrderKind::Load) {
-            require(takesWork(order.server), "P8 or P12");
+            require(isInService(order.server), "P8 or P12");
             return;
         }
         require(inUse(order.server, order.adapter) == 0, "P2");
--- a/tests/scheduling/randomrun.h
+++ b/tests/scheduling/randomrun.h
@@ -82,11 +82,11 @@
         } else if (kind == 14) {
             cancelOne(event);
         } else {
-            laterEvent(event);
+            applyRareEvent(event);
         }
     }
 
-    void laterEvent(const RandomEvent &event)
+    void applyRareEvent(const RandomEvent &event)
     {
         switch (event[1] % 8) {
         case 0:
@@ -97,7 +97,7 @@
             reconcile(InstanceId{2});
             break;
         default:
-            giveTokens(event);
+            grantTokens(event);
             break;
         }
     }
@@ -143,7 +143,7 @@
         const bool completed = outcome == ReleaseOutcome::Completed;
         const bool slow = completed && event[3] % 32 == 0 && checker.servers[call.grant.server].hasBaseline; // far above 4 x the baseline
         // The owner learns nothing from a grant that it does not know.
-        checker.ended(call, completed && !slow && !call.unknown, (slow || outcome == ReleaseOutcome::ConnectionReset) && !call.unknown);
+        checker.callEnded(call, completed && !slow && !call.unknown, (slow || outcome == ReleaseOutcome::ConnectionReset) && !call.unknown);
         const Duration latency = slow ? seconds(60) : milliseconds(50);
         scheduling::release(m_state, {call.request.id, call.grant.grant, call.grant.fencing, outcome, 10, completed ? latency : Duration{}}, m_now, m_actions);
         check();
@@ -165,7 +165,7 @@
                                              OrderOutcome::StaleFencing};
         const OrderOutcome outcome = outcomes[event[2] % std::size(outcomes)];
         const Order finished = checker.orders.at(order);
-        checker.ordered(order, outcome);
+        checker.orderEnded(order, outcome);
         if (finished.kind == OrderKind::Unload && outcome != OrderOutcome::Done) {
             checker.servers[finished.server].adapters.insert(finished.adapter); // still there
         }
@@ -245,7 +245,7 @@
         }
     }
 
-    void giveTokens(const RandomEvent &event)
+    void grantTokens(const RandomEvent &event)
     {
         grantLoadTokens(m_state, 1 + event[2] % 3, m_now, m_actions);
         check();
@@ -263,7 +263,7 @@
         for (auto &[id, server] : checker.servers) {
             // Orders in flight may have taken effect; the servers list what they hold.
             server.limit = std::min(server.coldLimit, server.slots);
-            server.good = 0;
+            server.goodResponses = 0;
             ++server.epoch;
             server.hasBaseline = false;
         }
