--- a/tests/scheduling/fairness.cpp
+++ b/tests/scheduling/fairness.cpp
@@ -6,7 +6,7 @@
 using namespace mimosahollow::scheduling;
 using testing::PoolFixture;
 
-// Guards against an organisation that holds all slots because it asks most.
+// Guards against an organisation that occupies all slots because it sends the most requests.
 TEST_CASE("A free slot goes to the organisation that was served least")
 {
     PoolFixture pool(1, 1, 2, 1);
@@ -16,7 +16,7 @@
         pool.submitRequest(0, 1);
     }
     const RequestId small = pool.submitRequest(0, 2);
-    // It starts with the counter of the other one, so it is served second at the latest.
+    // It starts with the virtual time of the other organisation, so it is served second at the latest.
     pool.returnGrant(running);
     auto next = pool.only<Grant>().value();
     if (next.id != small) {
@@ -25,7 +25,7 @@
     }
     REQUIRE(next.id == small);
 
-    SECTION("and then they alternate")
+    SECTION("then both organisations alternate")
     {
         for (int i = 0; i < 4; ++i) {
             pool.submitRequest(0, 2);
@@ -40,7 +40,7 @@
     }
 }
 
-// Guards against an organisation that spends the load budget, or holds the adapter slots, because it asks most.
+// Guards against an organisation that uses up the load budget, or occupies the adapter slots, because it sends the most requests.
 TEST_CASE("Loads go to an organisation with a short queue first")
 {
     PoolFixture pool(1, 1, 2, 1);
@@ -55,7 +55,7 @@
     grantLoadTokens(pool.state, 1, pool.now, pool.actions);
     REQUIRE(pool.only<Order>()->adapter == AdapterId{30});
 
-    SECTION("and idle adapters of the one with the long queue are evicted first")
+    SECTION("idle adapters of the organisation with the long queue are evicted first")
     {
         pool.finish(pool.only<Order>().value());
         const auto running = pool.only<Grant>().value();
@@ -72,8 +72,8 @@
     }
 }
 
-// Guards against credit for idle time, which would shut out the others for as long.
-TEST_CASE("An organisation that becomes active starts at the lowest active counter")
+// Guards against credit for idle time: an organisation that was idle would starve the others for as long as it was idle.
+TEST_CASE("An organisation that becomes active starts at the lowest active virtual time")
 {
     PoolFixture pool(1, 1, 2, 1);
     for (int i = 0; i < 100; ++i) {
@@ -88,21 +88,21 @@
     pool.returnGrant(running);
 }
 
-// Guards against short requests behind long ones, and against long ones that never run.
+// Guards against short requests that wait behind long ones, and against long requests that shorter ones overtake forever.
 TEST_CASE("Within an organisation shorter requests go first, for a bounded time")
 {
     PoolFixture pool(1, 1, 2, 1);
     pool.submitRequest(0);
     const auto running = pool.only<Grant>().value();
     const RequestId longOne = pool.submitRequest(0, 1, 4000);
-    SECTION("a short one passes soon after")
+    SECTION("a short request overtakes a long one that arrived shortly before")
     {
         pool.now += milliseconds(500);
         const RequestId shortOne = pool.submitRequest(0, 1, 10);
         pool.returnGrant(running);
         REQUIRE(pool.only<Grant>()->id == shortOne);
     }
-    SECTION("but not after two seconds")
+    SECTION("a short request does not overtake after two seconds")
     {
         pool.now += milliseconds(2100);
         pool.submitRequest(0, 1, 10);
@@ -111,7 +111,7 @@
     }
 }
 
-// Guards against unbounded memory use, and against a full queue of one organisation that refuses another.
+// Guards against unbounded memory use, and against refusals to an organisation because the queue of another one is full.
 TEST_CASE("The queue of an organisation is bounded")
 {
     PoolFixture pool(1, 1, 2, 1);
@@ -125,7 +125,8 @@
     REQUIRE(pool.all<Refusal>().empty());
 }
 
-// Guards against answers to callers that are gone, and against a request that runs twice.
+// Guards against grants for cancelled requests and lost entry instances, and against a request that runs or counts twice because
+// a message was repeated.
 TEST_CASE("Cancelled, repeated and expired requests")
 {
     PoolFixture pool(1, 1, 2, 1);
--- a/tests/scheduling/limits.cpp
+++ b/tests/scheduling/limits.cpp
@@ -24,8 +24,8 @@
 
 } // namespace
 
-// Guards against full load on a freshly started server (P7).
-TEST_CASE("A cold server gets its limit exactly, and the limit doubles with good answers")
+// Guards against full load on a server that has just started and is cold (P7).
+TEST_CASE("A cold server gets exactly its limit, and the limit doubles with good responses")
 {
     PoolFixture pool(1, 8, 2, 1);
     pool.submitRequest(0);
@@ -41,7 +41,7 @@
     pool.returnGrant(pool.only<Grant>().value());
     REQUIRE(limitOf(pool) == 4);
 
-    SECTION("slow answers do not count")
+    SECTION("slow responses do not count")
     {
         for (int i = 0; i < 8; ++i) {
             pool.submitRequest(0);
@@ -49,7 +49,7 @@
         }
         REQUIRE(limitOf(pool) == 4);
     }
-    SECTION("a reset or refused connection lowers it at once, and answers to earlier grants do not raise it")
+    SECTION("a reset or refused connection lowers it at once, and responses to earlier grants do not raise it")
     {
         const auto outcome = GENERATE(ReleaseOutcome::ConnectionReset, ReleaseOutcome::ConnectionRefused);
         pool.submitRequest(0);
@@ -67,8 +67,8 @@
     }
 }
 
-// Guards against a server that turns cold without a restart and keeps its full load.
-TEST_CASE("A silently cold server is detected by its latency")
+// Guards against full load on a server that turns cold without a restart: no announcement or reset connection shows it.
+TEST_CASE("A server that turns cold without a restart is detected by its latency")
 {
     PoolFixture pool(1, 8, 2, 1);
     warmUp(pool, 8);
@@ -80,8 +80,8 @@
     REQUIRE(limitOf(pool) == 1);
 }
 
-// Guards against a server that refuses connections and, being the least loaded, attracts every request.
-TEST_CASE("A server that refuses a connection gets nothing until it reports")
+// Guards against a server that refuses connections and attracts every request because it is the least loaded.
+TEST_CASE("A server that refuses a connection gets no grants until it reports")
 {
     PoolFixture pool(1);
     pool.submitRequest(0);
@@ -92,8 +92,8 @@
     REQUIRE(pool.only<Grant>());
 }
 
-// Guards against grants to a server that vanished without a word.
-TEST_CASE("A silent server gets nothing new")
+// Guards against grants on a server that stopped without announcing it: its reports end.
+TEST_CASE("A server without reports or announcements gets no new grants")
 {
     PoolFixture pool(2);
     pool.now += seconds(4);
@@ -107,7 +107,8 @@
     REQUIRE(pool.all<Grant>().empty());
 }
 
-// Guards against new work on what was taken out (P8, P12) and against requests that wait there for nothing.
+// Guards against new work on servers and failure domains that are out of service (P8, P12), and against requests that wait there
+// until their deadline.
 TEST_CASE("A server taken out with running and waiting requests")
 {
     PoolFixture pool(2, 1, 2, 1);
@@ -129,7 +130,7 @@
         pool.returnGrant(alsoRunning);
         REQUIRE(pool.only<Grant>()->server == alsoRunning.server);
     }
-    SECTION("and with the last server the waiting request is refused as not run")
+    SECTION("when it was the last server, the waiting request is refused as not run")
     {
         pool.declare(2, service);
         REQUIRE(pool.only<Refusal>()->id == waiting);
@@ -163,7 +164,7 @@
     }
 }
 
-// Guards against work on servers that no operator declared.
+// Guards against work on servers that announce themselves but are not in the configuration.
 TEST_CASE("An undeclared server gets no work")
 {
     PoolFixture pool(1);
@@ -173,8 +174,8 @@
     REQUIRE(pool.only<Refusal>()->reason == RefusalReason::NoCapacity);
 }
 
-// Guards against hot spots, and against affinity that overrides balance.
-TEST_CASE("Server choice balances, and prefers the server with the prefix")
+// Guards against uneven load, and against prefix affinity that sends every request of a conversation to a busy server.
+TEST_CASE("Server choice balances load, and prefers the server with the prefix within limits")
 {
     PoolFixture pool(2, 8, 2, 8);
     pool.prefix = 77;
--- a/tests/scheduling/loads.cpp
+++ b/tests/scheduling/loads.cpp
@@ -6,7 +6,7 @@
 using namespace mimosahollow::scheduling;
 using testing::PoolFixture;
 
-// Guards against one load for each waiting request, which would exhaust the weight store.
+// Guards against one load per waiting request, which would overload the weight store.
 TEST_CASE("One load serves all requests that wait for the adapter")
 {
     PoolFixture pool(2);
@@ -18,7 +18,7 @@
     pool.submitRequest(9, 2);
     REQUIRE(pool.all<Order>().empty());
 
-    SECTION("and both are granted on that server when it is done")
+    SECTION("both are granted on that server when the load is done")
     {
         pool.finish(*load);
         const auto grants = pool.all<Grant>();
@@ -29,8 +29,8 @@
     }
 }
 
-// Guards against waiting for a load that an engine lost when it restarted.
-TEST_CASE("An engine that restarts empty during a load")
+// Guards against requests that wait for a load that was lost in a restart of the engine.
+TEST_CASE("An engine that restarts without adapters during a load")
 {
     PoolFixture pool(1);
     pool.submitRequest(9);
@@ -44,7 +44,7 @@
         REQUIRE(second->order != first.order);
         REQUIRE(pool.state.loadsInFlight == 1);
 
-        SECTION("and the late result of the first order does not count")
+        SECTION("the late result of the first order does not count")
         {
             pool.finish(first);
             REQUIRE(pool.all<Grant>().empty());
@@ -54,7 +54,7 @@
     }
 }
 
-// Guards against grants on an engine that lost its adapters without a new incarnation number.
+// Guards against grants on an engine that lost its adapters but kept its incarnation number.
 TEST_CASE("A report that lists fewer adapters than known")
 {
     PoolFixture pool(1, 8, 2, 1);
@@ -69,7 +69,7 @@
         pool.submitRequest(9);
         REQUIRE(pool.only<Grant>());
     }
-    SECTION("counts when it must be younger, and the engine starts cold")
+    SECTION("counts when it must be newer than the load, and the engine is treated as cold")
     {
         pool.now += seconds(3);
         pool.report(1, 0, {});
@@ -80,7 +80,7 @@
     }
 }
 
-// Guards against a second try on the same faulty server, and against tries without a pause.
+// Guards against a retry on the same faulty server, and against retries without a delay.
 TEST_CASE("A load that fails is retried on another server after a delay")
 {
     PoolFixture pool(2);
@@ -113,7 +113,7 @@
             const auto orders = pool.all<Order>();
             REQUIRE(orders.size() <= 1);
             if (orders.empty()) {
-                break; // the request has no time left for another try
+                break; // the deadline leaves no time for another attempt
             }
             order = orders.front();
         }
@@ -121,7 +121,7 @@
     }
 }
 
-// Guards against a hung load that blocks its requests, or whose slot is given away while the load may still arrive.
+// Guards against requests blocked by a load without a result, and against reuse of its slot while the load may still take effect.
 TEST_CASE("A load that hangs")
 {
     PoolFixture pool(2, 4, 1);
@@ -141,12 +141,12 @@
         pool.finish(retry);
         REQUIRE(pool.only<Grant>()->server == retry.server);
     }
-    SECTION("counts when it finishes late")
+    SECTION("makes the adapter resident when it finishes late")
     {
         pool.finish(hung);
         REQUIRE(pool.only<Grant>()->server == hung.server);
     }
-    SECTION("frees its slot only when a young report does not list the adapter")
+    SECTION("frees its slot only when a sufficiently recent report does not list the adapter")
     {
         pool.now += seconds(1);
         pool.report(hungServer, 0, {});
@@ -155,7 +155,7 @@
         pool.report(hungServer, 0, {});
         REQUIRE(slots.empty());
     }
-    SECTION("is known from a report that lists the adapter, even without a result")
+    SECTION("is complete when a report lists the adapter, even without a result")
     {
         pool.now += seconds(2);
         pool.report(hungServer, 0, {AdapterId{9}});
@@ -164,22 +164,22 @@
     }
 }
 
-// Guards against spending the store's tokens beyond the budget, and against losing count of wanted ones.
-TEST_CASE("Loads need tokens and places in flight")
+// Guards against loads beyond the budget of tokens or the limit of loads in flight, and against a wrong token demand.
+TEST_CASE("Loads need tokens and respect the limit of loads in flight")
 {
     PoolFixture pool(3);
-    SECTION("without tokens the pool says how many it wants")
+    SECTION("without tokens the pool states its demand")
     {
         pool.state.loadTokens = 0;
         pool.submitRequest(8);
         pool.submitRequest(9);
         REQUIRE(pool.all<Order>().empty());
-        REQUIRE(pool.state.loadTokenDemand == 3); // two loads and the reserve
+        REQUIRE(pool.state.loadTokenDemand == 3); // two loads and one reserve token
         pool.actions.clear();
         grantLoadTokens(pool.state, 1, pool.now, pool.actions);
         REQUIRE(pool.only<Order>());
     }
-    SECTION("without a place in flight the load waits for one")
+    SECTION("at the limit of loads in flight the next load waits")
     {
         pool.state.settings.maximumLoadsInFlight = 1;
         pool.submitRequest(8);
@@ -191,21 +191,21 @@
     }
 }
 
-// Guards against requests that wait for a load only to miss their deadline.
-TEST_CASE("A request that the load queue would make late is refused at once")
+// Guards against requests that wait for a load although it will finish after their deadline.
+TEST_CASE("A request whose load would finish after its deadline is refused at once")
 {
     PoolFixture pool(4);
     pool.state.loadTokens = 0;
     for (std::uint32_t adapter = 1; adapter <= 8; ++adapter) {
         pool.submitRequest(adapter);
     }
-    pool.submitRequest(20, 1, 100, seconds(2)); // nine loads at 4 a second take longer
+    pool.submitRequest(20, 1, 100, seconds(2)); // nine loads at 4 per second take longer than 2 s
     REQUIRE(pool.only<Refusal>()->reason == RefusalReason::Overloaded);
     REQUIRE(pool.only<Refusal>()->retryAfter > seconds(2));
     pool.submitRequest(21, 1, 100, seconds(10));
     REQUIRE(pool.all<Refusal>().empty());
 
-    SECTION("and a waiting one as soon as its load can no longer finish in time")
+    SECTION("a waiting request is refused as soon as its load can no longer finish in time")
     {
         pool.advance(seconds(4));
         pool.announce(1, 1);
@@ -216,14 +216,14 @@
     }
 }
 
-// Guards against work that ends after its deadline while others wait for the slot.
-TEST_CASE("A waiting request that cannot end in time is refused, by the time that fast requests need")
+// Guards against requests that finish after their deadline while others wait for the slot.
+TEST_CASE("A waiting request is refused when even a fast request could not finish before the deadline")
 {
     PoolFixture pool(1, 1, 2, 1);
     for (int i = 0; i < 50; ++i) {
         pool.submitRequest(0, 1, 100);
         const auto running = pool.only<Grant>().value();
-        pool.now += seconds(2); // 20 ms a token
+        pool.now += seconds(2); // 20 ms per token
         pool.announce(1, 1);
         pool.returnGrant(running);
     }
@@ -239,7 +239,7 @@
     REQUIRE(pool.only<Refusal>()->id == inTime);
 }
 
-// Guards against eviction of adapters in use (P2) and of popular ones.
+// Guards against eviction of adapters that are in use or waited for (P2), and of popular ones.
 TEST_CASE("Eviction takes the least useful idle adapter, and only when a slot is needed")
 {
     PoolFixture pool(1, 4, 2);
@@ -266,7 +266,7 @@
         pool.returnGrant(running);
         REQUIRE(pool.only<Order>()->adapter == AdapterId{3});
     }
-    SECTION("nor one with a waiting request")
+    SECTION("an adapter with a waiting request is not evicted")
     {
         pool.submitRequest(1);
         pool.submitRequest(1);
@@ -279,8 +279,8 @@
     }
 }
 
-// Guards against popularity that never fades: adapters of yesterday would hold the slots.
-TEST_CASE("After a popularity shift the formerly popular adapter gives way")
+// Guards against popularity that never decays: formerly popular adapters would occupy the slots for good.
+TEST_CASE("After a popularity shift the formerly popular adapter is evicted")
 {
     PoolFixture pool(1, 4, 2);
     for (int i = 0; i < 20; ++i) {
@@ -293,7 +293,7 @@
     REQUIRE(pool.only<Order>()->adapter == AdapterId{1});
 }
 
-// Guards against a single replica that queues requests while other servers idle.
+// Guards against requests that queue for the only replica of an adapter while other servers are idle.
 TEST_CASE("A popular adapter gets a replica when its server stays full")
 {
     PoolFixture pool(2, 1, 2, 1);
@@ -311,7 +311,7 @@
     REQUIRE(second.server == replica.server);
     REQUIRE(pool.state.adapters[1].holders.size() == 2);
 
-    SECTION("and loses it before a less popular adapter loses its only copy")
+    SECTION("the replica is evicted before the only copy of a less popular adapter")
     {
         pool.returnGrant(running);
         pool.returnGrant(second);
--- a/tests/scheduling/ownership.cpp
+++ b/tests/scheduling/ownership.cpp
@@ -10,7 +10,7 @@
 
 constexpr AdapterId adapter{9};
 
-/** A new owner that sees two entry instances and one server with a resident adapter. */
+/** A new owner without the earlier state, with two entry instances and one server with a resident adapter. */
 struct NewOwner : PoolFixture
 {
     explicit NewOwner(bool checks) : PoolFixture(0, 4, 1, 4)
@@ -37,8 +37,9 @@
 
 } // namespace
 
-// Guards against grants and evictions on top of what a lost owner granted (P2, P7).
-TEST_CASE("A new owner counts what it does not know as in use")
+// Guards against grants beyond the limit (P7) and evictions of adapters in use (P2), because the new owner does not know the
+// grants of a failed owner.
+TEST_CASE("A new owner treats slots and adapters of unknown state as in use")
 {
     NewOwner pool(true);
     pool.submitRequest(number(adapter));
@@ -65,12 +66,12 @@
             pool.actions.clear();
             release(pool.state, {{3, 1}, 40, 5, ReleaseOutcome::Completed, 100, milliseconds(50)}, pool.now, pool.actions);
             REQUIRE(pool.state.servers[0].grants == 0);
-            REQUIRE(pool.state.averageServiceSeconds < 2); // nobody knows how long it ran
+            REQUIRE(pool.state.averageServiceSeconds < 2); // its start is unknown, so it does not count in the average
             pool.submitRequest(8);
             REQUIRE(pool.only<Order>()->kind == OrderKind::Unload);
         }
     }
-    SECTION("a young report frees request slots, but no adapter")
+    SECTION("a report newer than the takeover frees request slots, but no adapters")
     {
         pool.now += seconds(1);
         pool.report(1, 1, {adapter});
@@ -94,8 +95,9 @@
     }
 }
 
-// Guards against two owners' orders that cross on a server that cannot tell them apart.
-TEST_CASE("A new owner waits before it orders a server that ignores fencing numbers")
+// Guards against a late order of the earlier owner that overtakes one of the new owner on a server that does not check fencing
+// numbers.
+TEST_CASE("A new owner delays orders to a server that ignores fencing numbers")
 {
     const bool checks = GENERATE(true, false);
     NewOwner pool(checks);
@@ -111,7 +113,7 @@
     }
 }
 
-// Guards against lost requests and forgotten grants in a graceful handover.
+// Guards against requests and grants that are lost in a graceful handover.
 TEST_CASE("A graceful handover needs no wait")
 {
     PoolFixture pool(1, 1, 1, 1);
@@ -126,7 +128,7 @@
     next.returnGrant(running);
     REQUIRE(next.only<Grant>()->fencing == 6);
 
-    SECTION("and the former owner grants nothing more")
+    SECTION("the former owner issues no more grants")
     {
         pool.submitRequest(9);
         REQUIRE(pool.only<Refusal>()->reason == RefusalReason::NoCapacity);
--- a/tests/scheduling/poolfixture.h
+++ b/tests/scheduling/poolfixture.h
@@ -8,7 +8,7 @@
 
 namespace mimosahollow::scheduling::testing {
 
-/** One pool with its clock and the actions of the last event. */
+/** A pool with a manual clock; actions holds the actions of the last event. */
 struct PoolFixture
 {
     explicit PoolFixture(std::uint32_t serverCount, std::uint32_t slots = 4, std::uint32_t adapterSlots = 2, std::uint32_t coldLimit = 4)
@@ -89,7 +89,7 @@
         tick(state, now, actions);
     }
 
-    /** Lets time pass while the servers keep reporting what they hold. */
+    /** Advances time while the servers report their resident adapters every second. Element 0 of @p resident is server 1. */
     void advanceWithReports(Duration duration, const std::vector<std::vector<AdapterId>> &resident)
     {
         const TimePoint end = now + duration;
@@ -121,7 +121,7 @@
         return found.size() == 1 ? std::optional<Kind>(found.front()) : std::nullopt;
     }
 
-    /** Loads the adapter by a request that is returned at once. Returns the server. */
+    /** Loads the adapter for a request whose grant is returned at once. Returns the server. */
     ServerId loadAdapter(std::uint32_t adapter)
     {
         submitRequest(adapter);
--- a/tests/scheduling/properties.cpp
+++ b/tests/scheduling/properties.cpp
@@ -28,7 +28,7 @@
     return events;
 }
 
-/** The first violation in some long runs. */
+/** First violated property in 20 long runs; empty: none. */
 std::string firstViolation(const std::function<void(PoolState &)> &injectFault)
 {
     for (std::uint64_t run = 0; run < 20; ++run) {
@@ -43,11 +43,11 @@
 
 } // namespace
 
-// Guards against any order of events that breaks P1, P2, P7, P8 or P12, or answers a request twice.
-TEST_CASE("Random events break no property")
+// Guards against sequences of events that violate P1, P2, P7, P8 or P12 (see PropertyChecker), or answer a request twice.
+TEST_CASE("Random events violate no scheduling property")
 {
     std::cout << "seed " << seed << '\n';
-    SECTION("in short runs, which shrink to the events that matter")
+    SECTION("in short runs, which can be shrunk to a minimal sequence")
     {
         rc::detail::TestParams parameters;
         parameters.seed = seed;
@@ -65,7 +65,7 @@
         INFO(message.str());
         REQUIRE(result.is<rc::detail::SuccessResult>());
     }
-    SECTION("in long runs, which really grant and evict")
+    SECTION("in long runs, which include many grants and evictions")
     {
         std::size_t grants = 0;
         std::size_t unloads = 0;
@@ -82,11 +82,11 @@
     }
 }
 
-// Guards against a checker that sees nothing: each broken variant must be found.
+// Guards against a checker that misses violations: each injected fault must be reported as the property it violates.
 TEST_CASE("The property checker detects deliberately broken variants")
 {
     REQUIRE(firstViolation({}).empty());
-    SECTION("an owner that takes another server for a holder of the adapter")
+    SECTION("an owner that assumes an adapter on a server without it")
     {
         REQUIRE(firstViolation([](PoolState &state) {
                     for (AdapterState &adapter : state.adapters) {
@@ -97,7 +97,7 @@
                 })
                 == "P1");
     }
-    SECTION("an owner that forgets which adapters are in use")
+    SECTION("an owner that loses the use counts of adapters")
     {
         REQUIRE(firstViolation([](PoolState &state) {
                     for (ServerState &server : state.servers) {
@@ -117,7 +117,7 @@
                 })
                 == "P7");
     }
-    SECTION("a new owner that takes unknown slots for free")
+    SECTION("a new owner that assumes that unknown slots are free")
     {
         REQUIRE(firstViolation([](PoolState &state) {
                     for (ServerState &server : state.servers) {
@@ -126,7 +126,7 @@
                 })
                 == "P7");
     }
-    SECTION("an owner that ignores what was taken out")
+    SECTION("an owner that ignores servers and domains out of service")
     {
         REQUIRE(firstViolation([](PoolState &state) {
                     state.domainState = ServiceState::InService;
--- a/tests/scheduling/propertychecker.h
+++ b/tests/scheduling/propertychecker.h
@@ -11,8 +11,12 @@
 namespace mimosahollow::scheduling::testing {
 
 /**
- * Records what happened outside the decision code, and judges every action against the properties P1, P2, P7, P8 and P12.
- * Shares no state with the decision code.
+ * Independent model of servers and requests that checks every action against the properties of the pool:
+ * P1: a request runs only on a server where its adapter is resident.
+ * P2: no adapter is unloaded while requests use it or wait for it.
+ * P7: a server never runs more requests than its slow-start limit.
+ * P8, P12: servers and failure domains that are out of service get no new work.
+ * Shares no state with the scheduling code.
  */
 class PropertyChecker
 {
@@ -23,11 +27,11 @@
         bool leaving = false;
         std::uint32_t slots = 0;
         std::uint32_t coldLimit = 1;
-        std::uint32_t limit = 1; /**< What the server bears. */
+        std::uint32_t limit = 1; /**< Slow-start limit. */
         std::uint32_t goodResponses = 0;
         std::uint32_t epoch = 0;
-        bool hasBaseline = false; /**< The present owner has seen its normal latency. */
-        std::set<AdapterId> adapters; /**< Resident as far as the owner was told. */
+        bool hasBaseline = false; /**< The current owner has measured the latency of the server. */
+        std::set<AdapterId> adapters; /**< Resident according to order results. */
     };
 
     struct Running
@@ -38,7 +42,7 @@
         bool unknown = false; /**< Granted by an earlier owner and not reported to the present one. */
     };
 
-    std::string violation; /**< The first one; empty: none. */
+    std::string violation; /**< First violated property; empty: none. */
     ServiceState domain = ServiceState::InService;
     std::map<ServerId, Server> servers;
     std::map<RequestId, AcquireRequest> waiting;
@@ -57,7 +61,7 @@
         resetLimit(server);
     }
 
-    /** @p good: a fast complete answer; @p cold: an outcome that shows a cold server. */
+    /** @p good: complete response without excess latency; @p cold: outcome that shows a cold server. */
     void callEnded(const Running &call, bool good, bool cold)
     {
         Server &server = servers[call.grant.server];
@@ -90,7 +94,7 @@
 
     void ownerReplaced()
     {
-        waiting.clear(); // the entry instances ask again
+        waiting.clear(); // entry instances submit them again to the new owner
         orders.clear();
         for (auto &[id, call] : running) {
             call.unknown = true;
--- a/tests/scheduling/randomrun.h
+++ b/tests/scheduling/randomrun.h
@@ -7,10 +7,10 @@
 
 namespace mimosahollow::scheduling::testing {
 
-/** One event of a random run: its kind and three operands. */
+/** Event of a random run: kind and three operands. */
 using RandomEvent = std::array<std::uint8_t, 4>;
 
-/** Feeds events to a pool and to the checker. */
+/** Applies events to a pool and to the property checker. */
 class RandomRun
 {
 public:
@@ -19,7 +19,7 @@
     static constexpr std::uint32_t slots = 4;
     static constexpr std::uint32_t adapterSlots = 2;
 
-    /** @p injectFault is called after each event to break the state on purpose. */
+    /** @p injectFault is called after each event and may corrupt the state to verify the checker. */
     explicit RandomRun(std::function<void(PoolState &)> injectFault = {})
         : m_injectFault(std::move(injectFault)), m_state(makePool(PoolId{1}, settings(), m_now))
     {
@@ -142,7 +142,7 @@
         const ReleaseOutcome outcome = outcomes[event[2] % std::size(outcomes)];
         const bool completed = outcome == ReleaseOutcome::Completed;
         const bool slow = completed && event[3] % 32 == 0 && checker.servers[call.grant.server].hasBaseline; // far above 4 x the baseline
-        // The owner learns nothing from a grant that it does not know.
+        // Releases of grants unknown to the owner do not change its slow-start state.
         checker.callEnded(call, completed && !slow && !call.unknown, (slow || outcome == ReleaseOutcome::ConnectionReset) && !call.unknown);
         const Duration latency = slow ? seconds(60) : milliseconds(50);
         scheduling::release(m_state, {call.request.id, call.grant.grant, call.grant.fencing, outcome, 10, completed ? latency : Duration{}}, m_now, m_actions);
@@ -167,7 +167,7 @@
         const Order finished = checker.orders.at(order);
         checker.orderEnded(order, outcome);
         if (finished.kind == OrderKind::Unload && outcome != OrderOutcome::Done) {
-            checker.servers[finished.server].adapters.insert(finished.adapter); // still there
+            checker.servers[finished.server].adapters.insert(finished.adapter); // not unloaded
         }
         orderFinished(m_state, order, outcome, m_now, m_actions);
         check();
@@ -201,7 +201,7 @@
     {
         ++m_incarnations[number(server)];
         checker.servers[server].leaving = leaves && m_incarnations[number(server)] % 4 == 0;
-        // Orders of the earlier process come to nothing.
+        // Orders to the earlier process have no effect.
         std::erase_if(checker.orders, [server](const auto &entry) {
             return entry.second.server == server;
         });
@@ -251,7 +251,7 @@
         check();
     }
 
-    /** The owner is lost; the next one knows only what servers and entry instances tell. */
+    /** Replaces the owner without a handover: the new one knows only what servers and entry instances report. */
     void changeOwner()
     {
         checker.ownerReplaced();
@@ -261,7 +261,8 @@
         m_state.nextOrder = orders; // results of earlier orders do not arrive at the new owner
         takeOver(m_state, {fencing, {InstanceId{1}, InstanceId{2}}, m_now + seconds(52), m_now}, m_now);
         for (auto &[id, server] : checker.servers) {
-            // Orders in flight may have taken effect; the servers list what they hold.
+            // The new owner starts with cold limits and without baselines. Orders in flight may have taken effect; the servers list their
+            // adapters.
             server.limit = std::min(server.coldLimit, server.slots);
             server.goodResponses = 0;
             ++server.epoch;
