--- a/include/mimosahollow/serving/serving.h
+++ b/include/mimosahollow/serving/serving.h
@@ -53,6 +53,7 @@
 
 /** Sets the time until which the configuration is known to be current and keys may be accepted. */
 void setFreshUntil(ServingState &state, TimePoint freshUntil) noexcept;
+
 /** Takes up or renews the ownership of a pool. Ignored if the configuration assigns the pool to another instance. */
 void setPoolLease(ServingState &state, const PoolLease &lease, TimePoint now, Actions &actions);
 
--- a/include/mimosahollow/serving/servingstate.h
+++ b/include/mimosahollow/serving/servingstate.h
@@ -55,7 +55,7 @@
     admission::RetryBudget retryBudget;
     std::map<PoolId, OwnedPool> pools;
     std::vector<routing::PoolSummary> summaries; /**< One for each pool, in the order of the configuration. */
-    std::map<PoolId, FencingNumber> reportedFencing; /**< Fencing number of the ownership to which the grants were last reported. */
+    std::map<PoolId, FencingNumber> reportedFencing; /**< Ownership to which the grants were last reported; 0 if the report may be lost. */
     std::unordered_map<RequestId, Call> calls;
     std::unordered_map<std::uint64_t, PendingOrder> pendingOrders; /**< By the number of the gateway's order. */
     std::uint64_t nextOrder = 1;
--- a/src/serving/tokens.cpp
+++ b/src/serving/tokens.cpp
@@ -155,7 +155,7 @@
 {
     state.bucketsOwnedUntil = ownedUntil;
     if (fencing != 0 && state.buckets.epoch != fencing) {
-        // A lease is granted only after that of the previous owner has ended, so its end is passed as now.
+        // A lease is granted only after that of the previous owner has ended, so now is passed as its end.
         admission::startOwnership(state.buckets, fencing, now, now);
     }
 }
--- a/tests/serving/fleet.h
+++ b/tests/serving/fleet.h
@@ -18,7 +18,10 @@
 
 namespace mimosahollow::serving {
 
-/** Simulation of four instances in two failure domains with fake servers, links and log. The test controls time and delivery. */
+/**
+ * Simulation of four instances in two failure domains with fake servers, links and log. The test controls time and delivery.
+ * P1, P3, P10 and P11 in the violations are numbers of properties on the design page.
+ */
 class Fleet
 {
 public:
