--- a/include/mimosahollow/scheduling/poolstate.h
+++ b/include/mimosahollow/scheduling/poolstate.h
@@ -66,7 +66,7 @@
     std::uint64_t nextOrder = 1;
     std::uint64_t randomState = 0; /**< State of the pseudo-random generator that breaks ties. */
     TimePoint popularityOrigin;
-    TimePoint unknownGrantsExpireAt; /**< All grants of earlier owners have expired. */
+    TimePoint unknownGrantsExpireAt; /**< Expiry of the last grant of earlier owners. */
     TimePoint ordersAllowedFrom; /**< Earliest order to servers that ignore fencing numbers. */
     TimePoint ownedSince;
     std::vector<InstanceId> unreportedInstances; /**< Entry instances that have not reported their grants to this owner. */
--- a/include/mimosahollow/scheduling/takeover.h
+++ b/include/mimosahollow/scheduling/takeover.h
@@ -12,7 +12,7 @@
 {
     FencingNumber fencing = 0;
     std::vector<InstanceId> instances; /**< Entry instances that may hold grants of earlier owners. */
-    TimePoint unknownGrantsExpireAt; /**< All grants of earlier owners have expired (maximum request deadline). */
+    TimePoint unknownGrantsExpireAt; /**< Expiry of the last grant of earlier owners: the maximum request deadline. */
     TimePoint ordersAllowedFrom; /**< End of the old lease plus the longest order in flight; for servers that ignore fencing numbers. */
 };
 
--- a/src/scheduling/slowstart.cpp
+++ b/src/scheduling/slowstart.cpp
@@ -8,8 +8,8 @@
 
 // Prompt length whose processing takes about as long as the fixed part of the first-token latency.
 constexpr double referencePromptTokens = 512;
-constexpr double goodFactor = 2; // docs/design.md section 5
-constexpr double coldFactor = 4; // docs/design.md section 5
+constexpr double goodFactor = 2; // good responses are below this multiple of the baseline; docs/design.md section 5
+constexpr double coldFactor = 4; // above this multiple of the baseline the server is cold; docs/design.md section 5
 // The baseline follows faster responses quickly and slower ones slowly: a server that turns cold cannot mask this by raising
 // its own baseline, but a lasting change (another engine version) is adopted after some hundred responses.
 constexpr double fallWeight = 0.25;
--- a/tests/scheduling/propertychecker.h
+++ b/tests/scheduling/propertychecker.h
@@ -39,7 +39,7 @@
         AcquireRequest request;
         Grant grant;
         std::uint32_t epoch = 0;
-        bool unknown = false; /**< Granted by an earlier owner and not reported to the present one. */
+        bool unknown = false; /**< Granted by an earlier owner and not reported to the current one. */
     };
 
     std::string violation; /**< First violated property; empty: none. */
