--- a/src/coordination/leases.cpp
+++ b/src/coordination/leases.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Orders of the previous owner can arrive until the load timeout has expired (docs/design.md, section 15).
-constexpr Duration maximumOrderDelay = seconds(5);
+constexpr Duration maximumOrderLifetime = seconds(5);
 
 bool isBucketPool(PoolId pool, DomainId home)
 {
@@ -40,7 +40,7 @@
     lease.buckets = isBucketPool(pool, state.home);
     lease.fencing = held.fencing;
     lease.ownedUntil = until;
-    lease.ordersFrom = membership::firstOrderAt(state.holder, pool, false, maximumOrderDelay);
+    lease.ordersFrom = membership::firstOrderAt(state.holder, pool, false, maximumOrderLifetime);
     actions.push_back(lease);
 }
 
--- a/src/coordination/voter.cpp
+++ b/src/coordination/voter.cpp
@@ -79,21 +79,21 @@
         const std::string name = voterName(state, message.to);
         send(state, name, std::move(message.message), actions);
     }
-    void operator()(control::SaveVote &order) const
+    void operator()(control::SaveVote &storageWrite) const
     {
-        actions.push_back(StorageWrite(order));
+        actions.push_back(StorageWrite(storageWrite));
     }
-    void operator()(control::AppendLog &order) const
+    void operator()(control::AppendLog &storageWrite) const
     {
-        actions.push_back(StorageWrite(std::move(order)));
+        actions.push_back(StorageWrite(std::move(storageWrite)));
     }
-    void operator()(control::TruncateLog &order) const
+    void operator()(control::TruncateLog &storageWrite) const
     {
-        actions.push_back(StorageWrite(order));
+        actions.push_back(StorageWrite(storageWrite));
     }
-    void operator()(control::CompactLog &order) const
+    void operator()(control::CompactLog &storageWrite) const
     {
-        actions.push_back(StorageWrite(order));
+        actions.push_back(StorageWrite(storageWrite));
     }
     void operator()(control::InstallSnapshot &snapshot) const
     {
--- a/tests/coordination/fakefleet.h
+++ b/tests/coordination/fakefleet.h
@@ -231,8 +231,8 @@
     {
         if (auto *message = std::get_if<SendMessage>(&action)) {
             m_envelopes.push_back({m_now + step, name, message->peer, m_nodes.at(message->peer).options.incarnation, std::move(message->message)});
-        } else if (auto *order = std::get_if<StorageWrite>(&action)) {
-            store(node, *order, newActions);
+        } else if (auto *storageWrite = std::get_if<StorageWrite>(&action)) {
+            store(node, *storageWrite, newActions);
         } else if (const auto *changed = std::get_if<ConfigurationChanged>(&action)) {
             // A configuration that an instance has applied never reverts to an older one (P14).
             REQUIRE((!node.configuration || node.restarted || changed->configuration->logIndex >= node.configuration->logIndex));
@@ -246,27 +246,27 @@
         }
     }
 
-    void store(Node &node, StorageWrite &order, Actions &newActions)
+    void store(Node &node, StorageWrite &storageWrite, Actions &newActions)
     {
         control::DurableLog &disk = node.disk;
-        if (const auto *vote = std::get_if<control::SaveVote>(&order)) {
+        if (const auto *vote = std::get_if<control::SaveVote>(&storageWrite)) {
             disk.term = vote->term;
             disk.vote = vote->vote;
             storageSynced(*node.state, vote->write, m_now, newActions);
-        } else if (const auto *append = std::get_if<control::AppendLog>(&order)) {
+        } else if (const auto *append = std::get_if<control::AppendLog>(&storageWrite)) {
             disk.entries.insert(disk.entries.end(), append->entries.begin(), append->entries.end());
             storageSynced(*node.state, append->write, m_now, newActions);
-        } else if (const auto *truncate = std::get_if<control::TruncateLog>(&order)) {
+        } else if (const auto *truncate = std::get_if<control::TruncateLog>(&storageWrite)) {
             std::erase_if(disk.entries, [&](const control::LogEntry &entry) {
                 return entry.index >= truncate->from;
             });
             storageSynced(*node.state, truncate->write, m_now, newActions);
-        } else if (const auto *compact = std::get_if<control::CompactLog>(&order)) {
+        } else if (const auto *compact = std::get_if<control::CompactLog>(&storageWrite)) {
             std::erase_if(disk.entries, [&](const control::LogEntry &entry) {
                 return entry.index <= compact->upTo;
             });
             storageSynced(*node.state, compact->write, m_now, newActions);
-        } else if (auto *snapshot = std::get_if<StoreSnapshot>(&order)) {
+        } else if (auto *snapshot = std::get_if<StoreSnapshot>(&storageWrite)) {
             disk.snapshot = snapshot->point;
             disk.snapshotData = snapshot->data;
             if (snapshot->replacesLog) {
