--- a/src/coordination/commands.cpp
+++ b/src/coordination/commands.cpp
@@ -12,7 +12,7 @@
 constexpr Duration resendInterval = milliseconds(300);
 constexpr Duration registrationInterval = seconds(1);
 constexpr Duration registrationTimeout = seconds(10);
-// First byte of a reply payload. Set if every instance has applied the change or has an expired freshness lease.
+// First byte of a reply payload if every instance has applied the change or has an expired freshness lease; 0 otherwise.
 constexpr std::uint8_t inForceEverywhereFlag = 1;
 
 void finishCommand(
--- a/src/coordination/coordination.cpp
+++ b/src/coordination/coordination.cpp
@@ -170,7 +170,7 @@
             send(state, heartbeat.to, std::move(heartbeat.heartbeat), actions);
         }
         for (const std::string &name : viewActions.becameSuspect) {
-            actions.push_back(Notice{"instance " + name + " is suspected: no heartbeat in both directions"});
+            actions.push_back(Notice{"instance " + name + " is suspected: heartbeats are missing in at least one direction"});
         }
         for (const std::string &name : viewActions.becameAlive) {
             actions.push_back(Notice{"instance " + name + " is alive"});
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -11,8 +11,8 @@
 constexpr Duration assignmentInterval = milliseconds(100);
 
 /**
- * Whether @p command is acknowledged only after every instance has applied it or has an expired freshness lease. Records of calls do
- * not change the configuration.
+ * Whether @p command is acknowledged only after every instance has applied it or has an expired freshness lease. Not required for
+ * records of calls, which do not change the configuration, nor for registrations and assignments.
  */
 bool mustBeInForceEverywhere(const control::Command &command)
 {
--- a/src/coordination/leases.cpp
+++ b/src/coordination/leases.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Orders of the previous owner can arrive until the load timeout has expired (docs/design.md, section 15).
+// An order of the previous owner can arrive until the load timeout has expired (docs/design.md, section 15).
 constexpr Duration maximumOrderLifetime = seconds(5);
 
 bool isBucketPool(PoolId pool, DomainId home)
--- a/src/coordination/voter.cpp
+++ b/src/coordination/voter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// In log entries. Encoding a snapshot of 93,000 adapters takes tens of milliseconds; replaying this many entries takes about as long.
+// Log entries between snapshots. Encoding a snapshot of 93,000 adapters takes tens of milliseconds; replaying this many entries takes about as long.
 constexpr control::LogIndex snapshotInterval = 4096;
 
 void applyCommand(CoordinationState &state, const control::LogEntry &entry, TimePoint now, Actions &actions)
--- a/tests/coordination/fakefleet.h
+++ b/tests/coordination/fakefleet.h
@@ -27,7 +27,7 @@
         TimePoint freshUntil{};
         std::map<PoolId, LeaseChanged> leases;
         std::vector<CommandDone> done;
-        bool restarted = false;
+        bool restarted = false; /**< After a restart the configuration may be older than before it. */
     };
 
     explicit FakeFleet(std::shared_ptr<const control::Configuration> bundle)
