--- a/src/membership/feed.cpp
+++ b/src/membership/feed.cpp
@@ -129,7 +129,7 @@
     feed.snapshot = std::move(snapshot);
     feed.snapshotIndex = index;
     if (index > feed.lastIndex) {
-        // This instance itself advanced by a snapshot, so the stored increments do not reach up to it.
+        // This instance skipped the increments up to the snapshot, so the stored ones would leave a gap before it.
         feed.increments.clear();
         feed.incrementBytes = 0;
         feed.lastIndex = index;
--- a/src/membership/poolholder.cpp
+++ b/src/membership/poolholder.cpp
@@ -19,7 +19,7 @@
     });
 }
 
-/** End of the lease by promises: the earliest end of a promise over all peers. */
+/** End of the lease that rests on promises: the earliest end, because every peer must have promised. */
 TimePoint promiseLeaseUntil(const PoolHolder &holder, const PoolLeaseState &pool) noexcept
 {
     TimePoint until = TimePoint::max();
@@ -30,17 +30,20 @@
     return until;
 }
 
-/** Promises count only once the leader has renewed the lease of this process, and so knows how recent its set of peers is. */
+/**
+ * End of the lease from the leader or from the promises of the peers. Promises count only after the leader has renewed the lease of
+ * this process, because the leader then knows which peers this process knows.
+ */
 TimePoint leaseUntil(const PoolHolder &holder, const PoolLeaseState &pool) noexcept
 {
     return pool.renewedByLeader ? std::max(pool.leaderLeaseUntil, promiseLeaseUntil(holder, pool)) : neverTime;
 }
 
 /**
- * Whether promises that were given before a restart, and lost by it, may still be valid.
+ * Whether a promise that this instance gave before a restart, and no longer knows, may still be valid.
  *
- * Promises to the owner under a newer fencing number do not matter, because the leader no longer renews the older number.
- * Under fencing number 1 there was no previous owner.
+ * A forgotten promise to an owner under a newer fencing number is harmless, because the leader no longer renews the lease of this
+ * instance under the older number. Under fencing number 1 there was no previous owner.
  */
 bool mayHaveForgottenPromise(const PoolHolder &holder, const PoolLeaseState &pool, TimePoint now) noexcept
 {
@@ -283,7 +286,7 @@
     if (held == nullptr || !held->activated) {
         return TimePoint::max();
     }
-    // Fencing numbers of a pool increase by one, so a release under the preceding number is that of the previous owner.
+    // Assumes that the fencing numbers of a pool increase by one: a release under the preceding number is then that of the previous owner.
     const bool noOldOrders = held->fencing == 1 || held->releasedFencing + 1 == held->fencing;
     return serverChecksFencing || noOldOrders ? held->activatedAt : held->activatedAt + maximumOrderLifetime;
 }
--- a/src/membership/renewal.cpp
+++ b/src/membership/renewal.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/** Limit of the unanswered requests. Later replies are useless, because newer requests have renewed the same leases. */
+/** Limit of the unanswered requests. Replies to older ones are useless, because newer requests have renewed the same leases. */
 constexpr std::size_t maximumSentRenewals = 32;
 /** Bounds the request of a relay; exceeds the number of instances in a fleet of the expected size. */
 constexpr std::size_t maximumDownstreamRequests = 1024;
 constexpr Duration shortestRenewalInterval = milliseconds(100);
-/** The leader detects a failed instance by its missing renewals within the session time of 3 s. */
+/** Well below the pool lease of 3 s, after which the leader counts an instance without renewal requests as unreachable. */
 constexpr Duration longestRenewalInterval = seconds(1);
 /** Tolerates the loss of five renewals of a pool lease of 3 s. */
 constexpr Duration poolRenewalInterval = milliseconds(500);
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -92,8 +92,8 @@
 }
 
 /**
- * Heartbeat targets in the other failure domains: for each an alive relay, or else one of its known relays, or of all its
- * members if no relay is known, in rotation. If its known relays are not alive, one of all its members in addition.
+ * Heartbeat targets in the other failure domains. For each domain this is an alive relay if there is one. Otherwise it is one of the
+ * known relays and one of all members, or only one of all members if no relay is known, each in rotation.
  */
 std::vector<const KnownInstance *> remoteRelays(const View &view)
 {
