--- a/src/coordinator/coordinatororders.cpp
+++ b/src/coordinator/coordinatororders.cpp
@@ -60,7 +60,8 @@
     if (std::holds_alternative<Committed>(result)) {
         schedulePlacement();
     } else {
-        // The assignment may still be committed. Another one now could change the holder twice without a lease period in between.
+        // The assignment stays pending, because it may still be committed. Another one now could change the holder twice without a lease
+        // period in between.
         observability::logWarning("assignment of order slots was not committed in time");
     }
 }
@@ -110,7 +111,8 @@
 /** Executes an order of the leader for an engine in a slot that this coordinator holds. */
 void Coordinator::handleOrderRequest(const fleetlink::Peer &peer, const fleetlink::OrderRequest &request)
 {
-    // A delayed order could reach the engine together with orders of the next holder, which relies on the maximum age of a credit.
+    // A delayed order could reach the engine together with orders of the next holder of the slot. The reassignment
+    // of a slot relies on the maximum age of a credit to exclude this.
     const std::int64_t age = fleetlink::bootMilliseconds() - static_cast<std::int64_t>(request.credit);
     const bool isLate = milliseconds(age) > m_settings.orderSlots.maximumCreditAge;
     if (isLate || request.term < m_orderTerm) {
--- a/src/coordinator/coordinatorplacement.cpp
+++ b/src/coordinator/coordinatorplacement.cpp
@@ -11,7 +11,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-/** Interval of placement plans when no report triggers one; for replicas and engines without weights. */
+/** Interval of placement plans when no report triggers one. Replicas and engines without weights depend on these periodic plans. */
 constexpr Duration placementInterval = milliseconds(250);
 /** Reports and answers are batched for this long before a plan. Short compared with the 250 ms that a load takes. */
 constexpr Duration placementDelay = milliseconds(8);
@@ -44,7 +44,7 @@
     flushPlacement();
 }
 
-/** Plans once for all reports and answers that arrive within placementDelay, as each plan examines all copies on all engines. */
+/** Plans once for all reports and answers that arrive within placementDelay, as each plan examines every adapter copy on every engine. */
 void Coordinator::schedulePlacement()
 {
     if (m_isPlacementScheduled) {
@@ -121,7 +121,8 @@
     const placement::EngineState &engine = m_placement.engines.at(server);
     fleetlink::ServerPlacement placed{server, engine.born, {}};
     for (const auto &[key, copy] : engine.adapters) {
-        // An unanswered order may not have been executed. Calls sent to the engine would be refused and lose their only attempt.
+        // It is unknown whether an unanswered order was executed. If the adapter is missing on the engine, calls sent there would be
+        // refused and lose their only attempt.
         const bool isUncertain = engine.unresolvedOrder && engine.unresolvedOrder->model == key.model && engine.unresolvedOrder->adapter == key.adapter;
         if (isUncertain || !copy.isConfirmed || copy.isUnloading) {
             continue;
--- a/tests/allowance/tokens.cpp
+++ b/tests/allowance/tokens.cpp
@@ -47,7 +47,7 @@
         worst = std::max(worst, sum);
     }
     CHECK(worst <= limit * 1.0001);
-    // A token bucket that has run empty would grant 30 s x 1000 + 2000.
+    // A token bucket that has run empty would grant only 30 s x 1000 + 2000, which is less.
     CHECK(total >= 30 * limit / 8.5);
 }
 
--- a/tests/coordinator/fleet.cpp
+++ b/tests/coordinator/fleet.cpp
@@ -173,8 +173,8 @@
 
 } // namespace
 
-// Guards against the loss of an acknowledged change when two coordinators lose their disks one after the other. A coordinator with
-// an empty disk knew no members and never answered the leader, so the second loss left no majority.
+// Guards against the loss of an acknowledged change when two coordinators lose their disks one after the other. If a coordinator with
+// an empty disk does not answer the leader because it knows no members, it stays out of the log and the second loss leaves no majority.
 TEST_CASE("A coordinator with an empty disk rejoins as a voter, so that a second lost disk loses no change")
 {
     Fleet fleet;
