--- a/src/ingress/callerrequest.cpp
+++ b/src/ingress/callerrequest.cpp
@@ -23,7 +23,7 @@
 }
 
 template<typename Number>
-std::optional<Number> numberIn(std::string_view text)
+std::optional<Number> parseNumber(std::string_view text)
 {
     Number value{};
     const auto [rest, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -31,31 +31,32 @@
 }
 
 /** Prompt and output counts, separated by a comma. */
-std::optional<double> sumOfCounts(std::string_view text)
+std::optional<double> parseTokenCounts(std::string_view text)
 {
     const std::size_t comma = text.find(',');
-    const auto prompt = numberIn<std::uint64_t>(text.substr(0, comma));
-    const auto output = comma == std::string_view::npos ? std::optional<std::uint64_t>(0) : numberIn<std::uint64_t>(text.substr(comma + 1));
+    const auto prompt = parseNumber<std::uint64_t>(text.substr(0, comma));
+    const auto output = comma == std::string_view::npos ? std::optional<std::uint64_t>(0) : parseNumber<std::uint64_t>(text.substr(comma + 1));
     if (!prompt || !output) {
         return std::nullopt;
     }
     return static_cast<double>(*prompt) + static_cast<double>(*output);
 }
 
-bool isSet(const std::string &name, std::string_view candidate)
+bool matchesHeader(const std::string &name, std::string_view candidate)
 {
     return !name.empty() && beast::iequals(name, candidate);
 }
 
 /** Headers that the system sets itself, or keeps to itself, whatever the caller sent. */
-bool isOwn(std::string_view name, const HeaderNames &names)
+bool isReservedHeader(std::string_view name, const HeaderNames &names)
 {
-    if (beast::iequals(name, "Authorization") || beast::iequals(name, "Content-Length") || isSet(names.deadline, name) || isSet(names.organisation, name)
-        || isSet(names.expectedServer, name) || isSet(names.expectedVersion, name) || isSet(names.priority, name)) {
+    if (beast::iequals(name, "Authorization") || beast::iequals(name, "Content-Length") || matchesHeader(names.deadline, name)
+        || matchesHeader(names.organisation, name) || matchesHeader(names.expectedServer, name) || matchesHeader(names.expectedVersion, name)
+        || matchesHeader(names.priority, name)) {
         return true;
     }
     return std::any_of(names.reserved.begin(), names.reserved.end(), [name](const std::string &reserved) {
-        return isSet(reserved, name);
+        return matchesHeader(reserved, name);
     });
 }
 
@@ -66,7 +67,7 @@
 
 } // namespace
 
-std::string findFraming(const CallerRequest &request)
+std::string findFramingError(const CallerRequest &request)
 {
     if (request.count(http::field::host) != 1) {
         return "exactly one Host header is required";
@@ -92,7 +93,7 @@
     return {};
 }
 
-CallHead readHead(const CallerRequest &request, const HeaderNames &names)
+CallHead parseCallHead(const CallerRequest &request, const HeaderNames &names)
 {
     CallHead head;
     head.id = view(request[names.callId]);
@@ -111,10 +112,10 @@
     if (slash != std::string_view::npos) {
         head.adapter = model.substr(slash + 1);
     }
-    head.tokens = sumOfCounts(view(request[names.tokenCounts]));
-    head.lastEvent = numberIn<std::uint64_t>(view(request[names.lastEvent]));
-    if (const auto patience = numberIn<std::uint32_t>(view(request[names.deadline]))) {
-        head.patience = milliseconds(*patience);
+    head.tokens = parseTokenCounts(view(request[names.tokenCounts]));
+    head.lastEventId = parseNumber<std::uint64_t>(view(request[names.lastEventId]));
+    if (const auto timeout = parseNumber<std::uint32_t>(view(request[names.deadline]))) {
+        head.timeout = milliseconds(*timeout);
     }
     return head;
 }
@@ -141,8 +142,8 @@
     const std::string connectionHeader(view(request[http::field::connection]));
     for (const auto &field : request) {
         const std::string_view name = view(field.name_string());
-        const bool isReplaced = added.lastEvent && isSet(names.lastEvent, name);
-        if (!isReplaced && !isHopByHop(name, connectionHeader) && !isOwn(name, names)) {
+        const bool isReplaced = added.lastEventId && matchesHeader(names.lastEventId, name);
+        if (!isReplaced && !isHopByHop(name, connectionHeader) && !isReservedHeader(name, names)) {
             appendHeader(head, name, view(field.value()));
         }
     }
@@ -158,8 +159,8 @@
     if (added.priority) {
         appendHeader(head, names.priority, std::to_string(*added.priority));
     }
-    if (added.lastEvent) {
-        appendHeader(head, names.lastEvent, std::to_string(*added.lastEvent));
+    if (added.lastEventId) {
+        appendHeader(head, names.lastEventId, std::to_string(*added.lastEventId));
     }
     const bool hasBody = !request.body().empty() || request.count(http::field::content_length) > 0 || request.count(http::field::transfer_encoding) > 0;
     if (hasBody) {
--- a/src/ingress/callerrequest.h
+++ b/src/ingress/callerrequest.h
@@ -20,14 +20,14 @@
     std::string model;
     std::string adapter;
     std::optional<double> tokens; /**< Prompt and output together. */
-    std::optional<std::uint64_t> lastEvent;
-    std::optional<Duration> patience; /**< For how long the caller waits. */
+    std::optional<std::uint64_t> lastEventId;
+    std::optional<Duration> timeout; /**< For how long the caller waits. */
 };
 
 /** Why a request is not proper; empty when it is. Such a request may hide another one, so its connection must be closed. */
-[[nodiscard]] std::string findFraming(const CallerRequest &request);
+[[nodiscard]] std::string findFramingError(const CallerRequest &request);
 
-[[nodiscard]] CallHead readHead(const CallerRequest &request, const HeaderNames &names);
+[[nodiscard]] CallHead parseCallHead(const CallerRequest &request, const HeaderNames &names);
 
 /** What the entry instance adds to a request for a backend server. */
 struct ForwardedHeaders
@@ -37,7 +37,7 @@
     std::uint64_t expectedVersion = 0; /**< 0: any. */
     Duration remaining{};
     std::optional<int> priority;
-    std::optional<std::uint64_t> lastEvent; /**< Continues a stream after this event. */
+    std::optional<std::uint64_t> lastEventId; /**< Continues a stream after this event. */
 };
 
 /** Head of the request for a backend server; the body follows unchanged. */
--- a/src/ingress/callersession.cpp
+++ b/src/ingress/callersession.cpp
@@ -1,8 +1,8 @@
 #include "ingress/callersession.h"
 
-#include "ingress/answerwriter.h"
 #include "ingress/callerconnection.h"
 #include "ingress/callrelay.h"
+#include "ingress/responsewriter.h"
 #include "mimosahollow/observability/decisionline.h"
 #include "mimosahollow/observability/log.h"
 
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr auto token = asio::as_tuple(asio::use_awaitable);
+constexpr auto completionToken = asio::as_tuple(asio::use_awaitable);
 constexpr seconds bodyTimeout{10};
 
 catalog::CallerLimits limitsOf(const Entry &entry)
@@ -31,19 +31,19 @@
 }
 
 /** Answer to a request that could not be read; nothing when the caller has just closed the connection. */
-std::optional<OwnAnswer> answerTo(const boost::system::error_code &error)
+std::optional<LocalResponse> responseForReadError(const boost::system::error_code &error)
 {
     if (error == http::error::header_limit || error == http::error::buffer_overflow) {
-        return OwnAnswer{RefusalReason::InvalidRequest, "the head is too large", std::nullopt, 431};
+        return LocalResponse{RefusalReason::InvalidRequest, "the head is too large", std::nullopt, 431};
     }
     if (error == http::error::body_limit) {
-        return OwnAnswer{RefusalReason::InvalidRequest, "the body is too large", std::nullopt, 413};
+        return LocalResponse{RefusalReason::InvalidRequest, "the body is too large", std::nullopt, 413};
     }
     const bool isConnectionEnd = error == http::error::end_of_stream || error == http::error::partial_message || error == beast::error::timeout;
     if (isConnectionEnd || error.category() != make_error_code(http::error::bad_method).category()) {
         return std::nullopt;
     }
-    return OwnAnswer{RefusalReason::InvalidRequest, "the request is not valid HTTP", std::nullopt, std::nullopt};
+    return LocalResponse{RefusalReason::InvalidRequest, "the request is not valid HTTP", std::nullopt, std::nullopt};
 }
 
 /** Reads one request. Nothing when the connection is over; a request that cannot be read has been answered then. */
@@ -54,20 +54,20 @@
     parser.header_limit(static_cast<std::uint32_t>(limits.headerBytes));
     parser.body_limit(limits.bodyBytes);
     caller.stream.expires_after(limits.idleTimeout);
-    const auto idle = caller.entry.noteIdle(caller.stream);
-    auto [error, count] = co_await http::async_read_header(caller.stream, caller.buffer, parser, token);
-    caller.entry.noteBusy(idle);
+    const auto idle = caller.entry.addIdleStream(caller.stream);
+    auto [error, count] = co_await http::async_read_header(caller.stream, caller.buffer, parser, completionToken);
+    caller.entry.removeIdleStream(idle);
     if (!error) {
         caller.stream.expires_after(bodyTimeout);
-        error = std::get<0>(co_await http::async_read(caller.stream, caller.buffer, parser, token));
+        error = std::get<0>(co_await http::async_read(caller.stream, caller.buffer, parser, completionToken));
     }
     caller.stream.expires_never();
     if (!error) {
         co_return parser.release();
     }
-    if (const auto answer = answerTo(error)) {
+    if (const auto response = responseForReadError(error)) {
         caller.keepAlive = false;
-        const bool isWritten = co_await writeOwnAnswer(caller, {}, *answer);
+        const bool isWritten = co_await writeLocalResponse(caller, {}, *response);
         if (!isWritten) {
             observability::logInfo("the caller left before the answer to its invalid request");
         }
@@ -83,13 +83,13 @@
             co_return;
         }
         caller.keepAlive = request->keep_alive() && !caller.entry.isStopping();
-        if (const std::string problem = findFraming(*request); !problem.empty()) {
+        if (const std::string problem = findFramingError(*request); !problem.empty()) {
             caller.keepAlive = false;
             observability::DecisionLine line("call-refused");
             line.add("reason", problem);
             observability::logDecision(line.text());
-            const OwnAnswer answer{RefusalReason::InvalidRequest, problem, std::nullopt, std::nullopt};
-            co_await writeOwnAnswer(caller, {}, answer);
+            const LocalResponse response{RefusalReason::InvalidRequest, problem, std::nullopt, std::nullopt};
+            co_await writeLocalResponse(caller, {}, response);
             co_return;
         }
         caller.watch->beginCall();
--- a/src/ingress/callrelay.cpp
+++ b/src/ingress/callrelay.cpp
@@ -1,7 +1,7 @@
 #include "ingress/callrelay.h"
 
-#include "ingress/answerwriter.h"
 #include "ingress/eventrelay.h"
+#include "ingress/responsewriter.h"
 #include "ingress/serverexchange.h"
 #include "mimosahollow/dispatch/dispatch.h"
 #include "mimosahollow/observability/decisionline.h"
@@ -25,10 +25,10 @@
 using Clock = std::chrono::steady_clock;
 
 /** Attempts that reach no backend server are bounded too. */
-constexpr unsigned maximumRounds = 6;
-constexpr Duration staleRetry = milliseconds(500); // an election takes less than a second
-constexpr Duration rateRetry = milliseconds(1000); // a bucket holds about one second of its rate
-constexpr Duration notRunRetry = milliseconds(300);
+constexpr unsigned maximumDispatchRounds = 6;
+constexpr Duration staleRetryAfter = milliseconds(500); // an election takes less than a second
+constexpr Duration rateRetryAfter = milliseconds(1000); // a bucket holds about one second of its rate
+constexpr Duration notRunRetryAfter = milliseconds(300);
 
 enum class AttemptEnd : std::uint8_t {
     Answered, /**< The caller has the whole answer. */
@@ -53,25 +53,25 @@
 {
 public:
     Relay(CallerConnection &caller, const CallerRequest &request)
-        : m_caller(caller), m_entry(caller.entry), m_request(request), m_head(readHead(request, caller.entry.settings().headers)), m_arrived(Clock::now())
+        : m_caller(caller), m_entry(caller.entry), m_request(request), m_head(parseCallHead(request, caller.entry.settings().headers)), m_arrived(Clock::now())
     {
-        m_events.lastId = m_head.lastEvent;
+        m_events.lastId = m_head.lastEventId;
     }
 
     asio::awaitable<bool> run();
 
 private:
-    asio::awaitable<bool> refuse(OwnAnswer answer);
-    asio::awaitable<bool> attempts();
-    asio::awaitable<AttemptEnd> attempt(const dispatch::Send &target);
-    asio::awaitable<AttemptEnd> takeAnswer(ServerExchange &exchange);
-    asio::awaitable<AttemptEnd> passWhole(ServerExchange &exchange);
-    asio::awaitable<AttemptEnd> passEvents(ServerExchange &exchange);
-    asio::awaitable<bool> passHeld();
+    asio::awaitable<bool> refuse(LocalResponse response);
+    asio::awaitable<bool> runAttempts();
+    asio::awaitable<AttemptEnd> runAttempt(const dispatch::Send &target);
+    asio::awaitable<AttemptEnd> relayResponse(ServerExchange &exchange);
+    asio::awaitable<AttemptEnd> relayBody(ServerExchange &exchange);
+    asio::awaitable<AttemptEnd> relayEventStream(ServerExchange &exchange);
+    asio::awaitable<bool> sendHeldResponse();
     [[nodiscard]] AttemptEnd endOf(ExchangeError error) const;
-    [[nodiscard]] std::string answerHead(const ServerExchange &exchange, std::optional<std::size_t> length) const;
+    [[nodiscard]] std::string makeResponseHead(const ServerExchange &exchange, std::optional<std::size_t> length) const;
     [[nodiscard]] bool isRepeatable() const;
-    [[nodiscard]] OwnAnswer failure(AttemptEnd end) const;
+    [[nodiscard]] LocalResponse makeFailureResponse(AttemptEnd end) const;
     void chooseService();
     void logEnd(std::string_view outcome, unsigned status, std::string_view reason);
     void logAttempt(const dispatch::Send &target, AttemptEnd end, TimePoint begun, unsigned status);
@@ -92,7 +92,7 @@
     bool m_headSent = false; // the caller has the head of a stream
     unsigned m_status = 0; // of the newest answer of a backend server
     EventRelay m_events;
-    std::string m_heldAnswer; // failure of a backend server, passed on when no other one gives a better answer
+    std::string m_heldResponse; // failure of a backend server, passed on when no other one gives a better answer
 };
 
 bool Relay::isRepeatable() const
@@ -129,17 +129,17 @@
     observability::logDecision(line.text());
 }
 
-asio::awaitable<bool> Relay::refuse(OwnAnswer answer)
+asio::awaitable<bool> Relay::refuse(LocalResponse response)
 {
-    if (answer.retryAfter) {
+    if (response.retryAfter) {
         // Callers that were refused together must not come back together.
         const double spread = std::uniform_real_distribution<double>(0.7, 1.3)(m_entry.dispatchState().random);
-        answer.retryAfter = fromSeconds(toSeconds(*answer.retryAfter) * spread);
+        response.retryAfter = fromSeconds(toSeconds(*response.retryAfter) * spread);
     }
-    m_entry.metrics().refused(answer.reason);
+    m_entry.metrics().refused(response.reason);
     m_entry.metrics().callEnded(observability::CallEnd::Refused, Clock::now() - m_arrived);
-    logEnd("refused", statusOf(answer), answer.detail);
-    co_return co_await writeOwnAnswer(m_caller, m_head.id, answer);
+    logEnd("refused", statusOf(response), response.detail);
+    co_return co_await writeLocalResponse(m_caller, m_head.id, response);
 }
 
 void Relay::chooseService()
@@ -163,8 +163,8 @@
     m_entry.metrics().callStarted();
     if (m_entry.isLameDuckOver()) {
         m_caller.keepAlive = false;
-        const OwnAnswer answer{RefusalReason::ShuttingDown, "the instance is stopping", notRunRetry, 503};
-        co_return co_await refuse(answer);
+        const LocalResponse response{RefusalReason::ShuttingDown, "the instance is stopping", notRunRetryAfter, 503};
+        co_return co_await refuse(response);
     }
     const bool hasState = co_await m_entry.waitForState(*m_caller.watch);
     if (m_caller.watch->callerLeft()) {
@@ -174,26 +174,26 @@
     m_catalog = m_entry.catalog();
     if (!hasState) {
         // Keys may have been withdrawn, and routes added, since the leader confirmed the state.
-        const OwnAnswer answer{RefusalReason::ConfigurationStale, "no confirmed configuration", staleRetry, std::nullopt};
-        co_return co_await refuse(answer);
+        const LocalResponse response{RefusalReason::ConfigurationStale, "no confirmed configuration", staleRetryAfter, std::nullopt};
+        co_return co_await refuse(response);
     }
     m_route = m_catalog->findRoute(m_head.host, m_head.path);
     if (m_route == nullptr) {
-        const OwnAnswer answer{RefusalReason::UnknownRoute, "no route", std::nullopt, 404};
-        co_return co_await refuse(answer);
+        const LocalResponse response{RefusalReason::UnknownRoute, "no route", std::nullopt, 404};
+        co_return co_await refuse(response);
     }
     if (!m_route->isOpen && !m_catalog->catalog().organisations.empty()) {
         m_organisation = m_catalog->findOrganisation(m_head.key);
         if (m_organisation == nullptr) {
-            const OwnAnswer answer{RefusalReason::InvalidKey, "unknown key", std::nullopt, 401};
-            co_return co_await refuse(answer);
+            const LocalResponse response{RefusalReason::InvalidKey, "unknown key", std::nullopt, 401};
+            co_return co_await refuse(response);
         }
     }
-    const Duration patience = std::min(m_head.patience.value_or(m_route->timeout), m_route->timeout);
+    const Duration timeout = std::min(m_head.timeout.value_or(m_route->timeout), m_route->timeout);
     m_call.id = m_head.id;
     m_call.arrived = m_arrived;
     m_call.objectiveEnd = m_arrived + m_route->objective;
-    m_call.deadline = m_arrived + patience;
+    m_call.deadline = m_arrived + timeout;
     m_call.priority = m_organisation != nullptr && m_organisation->priority >= 0 ? m_organisation->priority : m_route->priority;
     chooseService();
     const catalog::ServiceSpec *service = m_catalog->findService(m_call.service);
@@ -203,28 +203,28 @@
     }
     if (m_organisation != nullptr) {
         m_tokens = m_organisation->countsTokens ? m_head.tokens.value_or(m_organisation->plainTokens) : 1;
-        const TokenOutcome outcome = co_await m_entry.takeTokens(*m_organisation, m_tokens, *m_caller.watch);
+        const TokenOutcome outcome = co_await m_entry.acquireTokens(*m_organisation, m_tokens, *m_caller.watch);
         if (outcome == TokenOutcome::NoLeader && !m_caller.watch->callerLeft()) {
-            const OwnAnswer answer{RefusalReason::NoQuorum, "no leader grants tokens", staleRetry, 503};
-            co_return co_await refuse(answer);
+            const LocalResponse response{RefusalReason::NoQuorum, "no leader grants tokens", staleRetryAfter, 503};
+            co_return co_await refuse(response);
         }
-        if (outcome != TokenOutcome::Taken) {
+        if (outcome != TokenOutcome::Acquired) {
             if (m_caller.watch->callerLeft()) {
                 logEnd("caller-left", 0, "while waiting for tokens");
                 co_return false;
             }
-            const OwnAnswer answer{RefusalReason::RateLimited, "over the rate of the organisation", rateRetry, 429};
-            co_return co_await refuse(answer);
+            const LocalResponse response{RefusalReason::RateLimited, "over the rate of the organisation", rateRetryAfter, 429};
+            co_return co_await refuse(response);
         }
     }
-    const bool isUsable = co_await attempts();
+    const bool isUsable = co_await runAttempts();
     if (m_organisation != nullptr && m_sends == 0) {
-        m_entry.giveBackTokens(m_organisation->name, m_tokens);
+        m_entry.refundTokens(m_organisation->name, m_tokens);
     }
     co_return isUsable;
 }
 
-OwnAnswer Relay::failure(AttemptEnd end) const
+LocalResponse Relay::makeFailureResponse(AttemptEnd end) const
 {
     if (end == AttemptEnd::TimedOut && m_mayHaveRun) {
         return {RefusalReason::DeadlineExceeded, "the backend server has not answered in time", std::nullopt, 504};
@@ -232,14 +232,14 @@
     if (m_mayHaveRun) {
         return {RefusalReason::BackendFailed, "the backend server failed", std::nullopt, 502};
     }
-    return {RefusalReason::Overloaded, std::string(endNames.at(static_cast<std::size_t>(end))), notRunRetry, 503};
+    return {RefusalReason::Overloaded, std::string(endNames.at(static_cast<std::size_t>(end))), notRunRetryAfter, 503};
 }
 
-asio::awaitable<bool> Relay::attempts()
+asio::awaitable<bool> Relay::runAttempts()
 {
     m_entry.countRequest(m_call.service);
     AttemptEnd last = AttemptEnd::Unreachable;
-    for (unsigned round = 0; round < maximumRounds; ++round) {
+    for (unsigned round = 0; round < maximumDispatchRounds; ++round) {
         const ServerChoice choice = co_await m_entry.chooseServer(m_call, *m_caller.watch);
         if (std::holds_alternative<CallerGone>(choice)) {
             logEnd("caller-left", 0, "while waiting for a backend server");
@@ -250,20 +250,20 @@
             if (m_headSent) {
                 break;
             }
-            if (!m_heldAnswer.empty()) {
-                co_return co_await passHeld();
+            if (!m_heldResponse.empty()) {
+                co_return co_await sendHeldResponse();
             }
             if (m_mayHaveRun) {
-                const OwnAnswer answer = failure(last);
-                co_return co_await refuse(answer);
+                const LocalResponse response = makeFailureResponse(last);
+                co_return co_await refuse(response);
             }
-            const OwnAnswer answer{RefusalReason::NoCapacity, std::string(dispatch::toString(refusal->cause)), refusal->retryAfter, 503};
-            co_return co_await refuse(answer);
+            const LocalResponse response{RefusalReason::NoCapacity, std::string(dispatch::toString(refusal->cause)), refusal->retryAfter, 503};
+            co_return co_await refuse(response);
         }
         const auto &target = std::get<dispatch::Send>(choice);
         const TimePoint begun = Clock::now();
         m_status = 0;
-        last = co_await attempt(target);
+        last = co_await runAttempt(target);
         logAttempt(target, last, begun, m_status);
         if (last == AttemptEnd::Answered) {
             m_entry.metrics().callEnded(observability::CallEnd::Completed, Clock::now() - m_arrived);
@@ -279,7 +279,7 @@
             break;
         }
         if (last == AttemptEnd::Missing) {
-            m_entry.noteMissing(target.server, m_call);
+            m_entry.handleMissingModel(target.server, m_call);
             if (m_sentTo.size() >= m_route->maximumAttempts) {
                 m_call.pinnedServer = target.server; // its load may end a little later than expected
             }
@@ -310,18 +310,18 @@
         m_caller.stream.close(); // without the end of the body, so that the answer does not look complete
         co_return false;
     }
-    if (!m_heldAnswer.empty()) {
-        co_return co_await passHeld();
+    if (!m_heldResponse.empty()) {
+        co_return co_await sendHeldResponse();
     }
-    const OwnAnswer answer = failure(last);
-    co_return co_await refuse(answer);
+    const LocalResponse response = makeFailureResponse(last);
+    co_return co_await refuse(response);
 }
 
-asio::awaitable<bool> Relay::passHeld()
+asio::awaitable<bool> Relay::sendHeldResponse()
 {
     m_entry.metrics().callEnded(observability::CallEnd::Completed, Clock::now() - m_arrived);
     logEnd("answered", m_status, "held");
-    co_return co_await writeBytes(m_caller, m_heldAnswer);
+    co_return co_await writeBytes(m_caller, m_heldResponse);
 }
 
 AttemptEnd Relay::endOf(ExchangeError error) const
@@ -361,7 +361,7 @@
     return dispatch::CallResult::Failed;
 }
 
-asio::awaitable<AttemptEnd> Relay::attempt(const dispatch::Send &target)
+asio::awaitable<AttemptEnd> Relay::runAttempt(const dispatch::Send &target)
 {
     ServerExchange exchange(m_entry, target.address);
     m_caller.watch->setInterrupt([&exchange] {
@@ -376,7 +376,7 @@
             added.expectedServer = target.server;
             added.expectedVersion = target.adapterVersion;
             added.remaining = m_call.deadline - Clock::now();
-            added.lastEvent = m_events.events > 0 ? m_events.lastId : std::nullopt;
+            added.lastEventId = m_events.events > 0 ? m_events.lastId : std::nullopt;
             if (!m_call.model.empty()) {
                 added.priority = std::clamp(m_call.priority, 0, 9);
             }
@@ -384,7 +384,7 @@
             ++m_sends;
             error = co_await exchange.begin(makeForwardedHead(m_request, m_entry.settings().headers, added), m_request.body(), m_head.id, m_call.deadline);
             if (error == ExchangeError::None) {
-                end = co_await takeAnswer(exchange);
+                end = co_await relayResponse(exchange);
             } else {
                 end = endOf(error);
             }
@@ -403,7 +403,7 @@
     co_return end;
 }
 
-asio::awaitable<AttemptEnd> Relay::takeAnswer(ServerExchange &exchange)
+asio::awaitable<AttemptEnd> Relay::relayResponse(ServerExchange &exchange)
 {
     const HeaderNames &names = m_entry.settings().headers;
     m_status = exchange.status();
@@ -421,18 +421,18 @@
         co_return notRun;
     }
     // Only an answer that states it was not run may bear one of these; any answer without a signature is not of a backend server.
-    const bool promisesNotRun = m_status == 408 || m_status == 429 || m_status == 503;
-    if (promisesNotRun || exchange.header(names.answerSignature).empty()) {
+    const bool isNotRunStatus = m_status == 408 || m_status == 429 || m_status == 503;
+    if (isNotRunStatus || exchange.header(names.responseSignature).empty()) {
         co_return AttemptEnd::Failed;
     }
     const bool isSuccess = m_status >= 200 && m_status < 300;
     if (m_route->kind == catalog::CallKind::Stream && isSuccess) {
-        co_return co_await passEvents(exchange);
+        co_return co_await relayEventStream(exchange);
     }
-    co_return co_await passWhole(exchange);
+    co_return co_await relayBody(exchange);
 }
 
-std::string Relay::answerHead(const ServerExchange &exchange, std::optional<std::size_t> length) const
+std::string Relay::makeResponseHead(const ServerExchange &exchange, std::optional<std::size_t> length) const
 {
     std::string head = "HTTP/1.1 " + std::to_string(exchange.status()) + " ";
     head.append(http::obsolete_reason(static_cast<http::status>(exchange.status()))).append("\r\n");
@@ -456,12 +456,12 @@
 }
 
 /** Passes an answer on once it is complete, or piece by piece when it is large. */
-asio::awaitable<AttemptEnd> Relay::passWhole(ServerExchange &exchange)
+asio::awaitable<AttemptEnd> Relay::relayBody(ServerExchange &exchange)
 {
     std::string body;
     std::size_t before = 0;
     bool isComplete = false;
-    while (!isComplete && body.size() <= m_entry.settings().bufferedAnswerBytes) {
+    while (!isComplete && body.size() <= m_entry.settings().bufferedResponseBytes) {
         before = body.size();
         const ExchangeError error = co_await exchange.readBody(body, m_call.deadline);
         if (error != ExchangeError::None) {
@@ -471,18 +471,18 @@
     }
     if (isComplete) {
         const bool isServerFault = m_status >= 500 && isRepeatable() && m_sentTo.size() < m_route->maximumAttempts;
-        std::string text = answerHead(exchange, body.size());
+        std::string text = makeResponseHead(exchange, body.size());
         exchange.finish();
         text += body;
         if (isServerFault) {
-            m_heldAnswer = std::move(text);
+            m_heldResponse = std::move(text);
             co_return AttemptEnd::Failed;
         }
         const bool isWritten = co_await writeBytes(m_caller, text);
         co_return writeEnd(isWritten);
     }
     m_headSent = true;
-    const std::string head = answerHead(exchange, std::nullopt);
+    const std::string head = makeResponseHead(exchange, std::nullopt);
     bool isWritten = co_await writeBytes(m_caller, head);
     if (isWritten) {
         isWritten = co_await writeChunk(m_caller, body);
@@ -508,7 +508,7 @@
     }
 }
 
-asio::awaitable<AttemptEnd> Relay::passEvents(ServerExchange &exchange)
+asio::awaitable<AttemptEnd> Relay::relayEventStream(ServerExchange &exchange)
 {
     m_events.partial.clear();
     std::string bytes;
@@ -533,7 +533,7 @@
         if (!m_headSent && (!whole.empty() || isEnd)) {
             m_headSent = true;
             m_entry.metrics().firstToken(Clock::now() - m_arrived);
-            const std::string head = answerHead(exchange, std::nullopt);
+            const std::string head = makeResponseHead(exchange, std::nullopt);
             const bool isWritten = co_await writeBytes(m_caller, head);
             if (!isWritten) {
                 co_return AttemptEnd::CallerLeft;
--- a/src/ingress/entry.cpp
+++ b/src/ingress/entry.cpp
@@ -26,14 +26,14 @@
     , m_decodeCatalog(std::move(decodeCatalog))
     , m_acceptor(context)
     , m_reportTimer(context)
-    , m_pumpTimer(context)
+    , m_waitingCallsTimer(context)
     , m_stopTimer(context)
     , m_lameDuckTimer(context)
     , m_upstream(context, {m_settings.connectTimeout, m_settings.lossTimeout})
     , m_metrics(1)
 {
     m_dispatch.options = m_settings.dispatch;
-    m_wallet.options = m_settings.wallet;
+    m_quotaCache.options = m_settings.quotaCache;
     m_dispatch.random.seed(static_cast<std::minstd_rand::result_type>(std::hash<std::string>{}(m_settings.name)));
 }
 
@@ -93,7 +93,7 @@
     m_stopping = true;
     m_stopSince = Clock::now();
     m_stopped = std::move(stopped);
-    m_stopTimer.expires_after(m_settings.drainTime);
+    m_stopTimer.expires_after(m_settings.drainTimeout);
     m_stopTimer.async_wait([this](boost::system::error_code error) {
         if (!error && m_stopped) {
             observability::logWarning("drain time is over with " + std::to_string(m_sessions) + " connections open");
@@ -112,19 +112,19 @@
     });
 }
 
-std::list<boost::beast::tcp_stream *>::iterator Entry::noteIdle(boost::beast::tcp_stream &stream)
+std::list<boost::beast::tcp_stream *>::iterator Entry::addIdleStream(boost::beast::tcp_stream &stream)
 {
     return m_idle.insert(m_idle.end(), &stream);
 }
 
-void Entry::noteBusy(std::list<boost::beast::tcp_stream *>::iterator place)
+void Entry::removeIdleStream(std::list<boost::beast::tcp_stream *>::iterator position)
 {
-    m_idle.erase(place);
+    m_idle.erase(position);
 }
 
 bool Entry::isReady() const
 {
-    return !m_stopping && m_dispatch.catalog != nullptr && isCurrent();
+    return !m_stopping && m_dispatch.catalog != nullptr && isStateCurrent();
 }
 
 std::string Entry::metricsText() const
@@ -167,7 +167,7 @@
     return m_confirmedAt == 0 ? Duration::max() : Duration(milliseconds(fleetlink::bootMilliseconds() - m_confirmedAt));
 }
 
-bool Entry::isCurrent() const
+bool Entry::isStateCurrent() const
 {
     return stateAge() < m_settings.freshness;
 }
--- a/src/ingress/entry.h
+++ b/src/ingress/entry.h
@@ -35,7 +35,7 @@
 };
 
 enum class TokenOutcome : std::uint8_t {
-    Taken,
+    Acquired,
     OverRate, /**< The leader has granted less than the call needs. */
     NoLeader, /**< No leader has answered in time. */
 };
@@ -70,32 +70,32 @@
     /** Null before the first catalog. */
     [[nodiscard]] const std::shared_ptr<const catalog::CatalogIndex> &catalog() const noexcept;
     /** Whether the leader has confirmed the state lately enough to trust keys. */
-    [[nodiscard]] bool isCurrent() const;
+    [[nodiscard]] bool isStateCurrent() const;
     [[nodiscard]] Duration stateAge() const;
     /** Waits a moment for a confirmed state, as after a start or an election. Returns whether there is one. */
     [[nodiscard]] boost::asio::awaitable<bool> waitForState(gateway::CallerWatch &watch);
     [[nodiscard]] bool isStopping() const noexcept;
     [[nodiscard]] bool isLameDuckOver() const;
     /** Takes the tokens of a call, waiting for the leader when needed. */
-    [[nodiscard]] boost::asio::awaitable<TokenOutcome> takeTokens(const catalog::OrganisationSpec &organisation, double tokens, gateway::CallerWatch &watch);
-    void giveBackTokens(const std::string &organisation, double tokens);
+    [[nodiscard]] boost::asio::awaitable<TokenOutcome> acquireTokens(const catalog::OrganisationSpec &organisation, double tokens, gateway::CallerWatch &watch);
+    void refundTokens(const std::string &organisation, double tokens);
     /** Waits until a backend server can take @p call, and counts it there. */
     [[nodiscard]] boost::asio::awaitable<ServerChoice> chooseServer(const dispatch::Call &call, gateway::CallerWatch &watch);
     void callEnded(const std::string &server, const dispatch::Call &call, dispatch::CallResult result);
     /** Counts a first attempt, for the retry budget. */
     void countRequest(const std::string &service);
     [[nodiscard]] bool takeRetry(const std::string &service);
-    void noteMissing(const std::string &server, const dispatch::Call &call);
+    void handleMissingModel(const std::string &server, const dispatch::Call &call);
 
     void sessionOpened();
     void sessionClosed();
-    /** @p stream waits for a request: it is closed when the time for late callers is over. Ends with noteBusy(). */
-    std::list<boost::beast::tcp_stream *>::iterator noteIdle(boost::beast::tcp_stream &stream);
-    void noteBusy(std::list<boost::beast::tcp_stream *>::iterator place);
+    /** @p stream waits for a request: it is closed when the time for late callers is over. Ends with removeIdleStream(). */
+    std::list<boost::beast::tcp_stream *>::iterator addIdleStream(boost::beast::tcp_stream &stream);
+    void removeIdleStream(std::list<boost::beast::tcp_stream *>::iterator position);
 
 private:
     struct Waiter;
-    struct ReturningCalls
+    struct ExpectedRetries
     {
         std::string service;
         TimePoint until{};
@@ -110,16 +110,16 @@
     boost::asio::awaitable<void> acceptCallers();
     void linkOpened(const fleetlink::Peer &peer);
     void linkMessage(const fleetlink::Peer &peer, fleetlink::LinkMessage message);
-    void takeState(fleetstate::FleetState state);
-    void takeReply(const fleetlink::LeaderReply &reply);
-    void boundIdleConnections();
+    void applyState(fleetstate::FleetState state);
+    void handleLeaderReply(const fleetlink::LeaderReply &reply);
+    void limitIdleConnections();
     void scheduleReport(TimePoint at);
     fleetlink::AdapterDemand &demandOf(const std::string &model, const std::string &adapter, const std::string &service);
-    void addReturning(TimePoint now);
+    void addExpectedRetries(TimePoint now);
     void addHistory(fleetlink::EntryReport &report, TimePoint now) const;
     void sendReport(TimePoint now);
-    void postPump();
-    void pump();
+    void postDispatchWaitingCalls();
+    void dispatchWaitingCalls();
     void checkStopped();
 
     boost::asio::io_context &m_context;
@@ -127,7 +127,7 @@
     catalog::CatalogDecoder m_decodeCatalog;
     boost::asio::ip::tcp::acceptor m_acceptor;
     boost::asio::steady_timer m_reportTimer;
-    boost::asio::steady_timer m_pumpTimer;
+    boost::asio::steady_timer m_waitingCallsTimer;
     boost::asio::steady_timer m_stopTimer;
     boost::asio::steady_timer m_lameDuckTimer;
     std::unique_ptr<fleetlink::LinkHub> m_hub;
@@ -136,7 +136,7 @@
 
     fleetstate::FleetState m_state;
     dispatch::DispatchState m_dispatch;
-    allowance::QuotaCache m_wallet;
+    allowance::QuotaCache m_quotaCache;
     std::string m_leader; // link address
     bool m_sendsHistory = true; // until the leader has what was spent before its time
     std::int64_t m_confirmedAt = 0; // boot clock, milliseconds, when the newest confirmed report was sent; 0: never
@@ -145,11 +145,11 @@
     std::map<std::pair<std::string, std::string>, fleetlink::AdapterDemand> m_demand; // since the last report
     std::map<std::pair<std::string, std::string>, RunningCalls> m_running; // calls on engines, by model and adapter
     /** Adapters of refused calls that will come back, and until when; they are loaded meanwhile. */
-    std::map<std::pair<std::string, std::string>, ReturningCalls> m_returning;
+    std::map<std::pair<std::string, std::string>, ExpectedRetries> m_expectedRetries;
     std::list<Waiter *> m_waiters; // most urgent first
     std::list<TokenWaiter *> m_tokenWaiters;
     std::vector<boost::asio::steady_timer *> m_stateWaiters;
-    bool m_pumpPosted = false;
+    bool m_dispatchPosted = false;
     std::list<boost::beast::tcp_stream *> m_idle;
     std::size_t m_sessions = 0;
     bool m_stopping = false;
--- a/src/ingress/entrycalls.cpp
+++ b/src/ingress/entrycalls.cpp
@@ -20,10 +20,10 @@
 
 asio::awaitable<bool> Entry::waitForState(gateway::CallerWatch &watch)
 {
-    if (m_dispatch.catalog && isCurrent()) {
+    if (m_dispatch.catalog && isStateCurrent()) {
         co_return true;
     }
-    asio::steady_timer timer(m_context, m_settings.stateWait);
+    asio::steady_timer timer(m_context, m_settings.stateTimeout);
     m_stateWaiters.push_back(&timer);
     watch.setInterrupt([&timer] {
         timer.cancel();
@@ -33,27 +33,27 @@
     }
     watch.clearInterrupt();
     std::erase(m_stateWaiters, &timer);
-    co_return m_dispatch.catalog &&isCurrent();
+    co_return m_dispatch.catalog &&isStateCurrent();
 }
 
-asio::awaitable<TokenOutcome> Entry::takeTokens(const catalog::OrganisationSpec &organisation, double tokens, gateway::CallerWatch &watch)
+asio::awaitable<TokenOutcome> Entry::acquireTokens(const catalog::OrganisationSpec &organisation, double tokens, gateway::CallerWatch &watch)
 {
     if (organisation.ratePerSecond <= 0) {
-        co_return TokenOutcome::Taken;
+        co_return TokenOutcome::Acquired;
     }
     const TimePoint now = Clock::now();
-    allowance::recordDemand(m_wallet, organisation.name, tokens, now);
+    allowance::recordDemand(m_quotaCache, organisation.name, tokens, now);
     const bool othersWait = std::any_of(m_tokenWaiters.begin(), m_tokenWaiters.end(), [&organisation](const TokenWaiter *other) {
         return other->organisation == organisation.name && !other->granted;
     });
-    if (!othersWait && allowance::spend(m_wallet, organisation.name, tokens, now)) {
-        co_return TokenOutcome::Taken;
+    if (!othersWait && allowance::spend(m_quotaCache, organisation.name, tokens, now)) {
+        co_return TokenOutcome::Acquired;
     }
     TokenWaiter waiter(m_context);
     waiter.organisation = organisation.name;
     waiter.tokens = tokens;
-    waiter.timer.expires_after(m_settings.tokenWait);
-    const auto place = m_tokenWaiters.insert(m_tokenWaiters.end(), &waiter);
+    waiter.timer.expires_after(m_settings.tokenTimeout);
+    const auto position = m_tokenWaiters.insert(m_tokenWaiters.end(), &waiter);
     watch.setInterrupt([&waiter] {
         waiter.isAbandoned = true;
         waiter.timer.cancel();
@@ -63,16 +63,16 @@
         co_await waiter.timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     watch.clearInterrupt();
-    m_tokenWaiters.erase(place);
+    m_tokenWaiters.erase(position);
     if (!waiter.granted) {
         co_return TokenOutcome::NoLeader;
     }
-    co_return *waiter.granted ? TokenOutcome::Taken : TokenOutcome::OverRate;
+    co_return *waiter.granted ? TokenOutcome::Acquired : TokenOutcome::OverRate;
 }
 
-void Entry::giveBackTokens(const std::string &organisation, double tokens)
+void Entry::refundTokens(const std::string &organisation, double tokens)
 {
-    allowance::refund(m_wallet, organisation, tokens);
+    allowance::refund(m_quotaCache, organisation, tokens);
 }
 
 asio::awaitable<ServerChoice> Entry::chooseServer(const dispatch::Call &call, gateway::CallerWatch &watch)
@@ -93,7 +93,7 @@
         const auto isLessUrgent = [&call](const Waiter *other) {
             return std::tie(other->call->priority, other->call->arrived) > std::tie(call.priority, call.arrived);
         };
-        const auto place = m_waiters.insert(std::find_if(m_waiters.begin(), m_waiters.end(), isLessUrgent), &waiter);
+        const auto position = m_waiters.insert(std::find_if(m_waiters.begin(), m_waiters.end(), isLessUrgent), &waiter);
         metrics().setWaitingCalls(m_waiters.size());
         watch.setInterrupt([&waiter] {
             if (!waiter.choice) {
@@ -104,12 +104,12 @@
         if (wait.cause == dispatch::RefusalCause::AdapterNotLoaded) {
             scheduleReport(now + m_settings.urgentReportDelay);
         }
-        postPump();
+        postDispatchWaitingCalls();
         if (!waiter.choice) {
             co_await waiter.timer.async_wait(asio::as_tuple(asio::use_awaitable));
         }
         watch.clearInterrupt();
-        m_waiters.erase(place);
+        m_waiters.erase(position);
         metrics().setWaitingCalls(m_waiters.size());
     }
     if (!waiter.choice) {
@@ -122,7 +122,7 @@
         ++running.calls;
     }
     if (const auto *refuse = std::get_if<dispatch::Refuse>(&*waiter.choice); refuse != nullptr && refuse->cause == dispatch::RefusalCause::AdapterNotLoaded) {
-        m_returning[{call.model, call.adapter}] = {call.service, now + refuse->retryAfter + m_settings.returnMargin};
+        m_expectedRetries[{call.model, call.adapter}] = {call.service, now + refuse->retryAfter + m_settings.retryMargin};
     }
     co_return *waiter.choice;
 }
@@ -138,29 +138,29 @@
     }
     dispatch::callEnded(m_dispatch, server, result, Clock::now());
     if (!m_waiters.empty()) {
-        postPump();
+        postDispatchWaitingCalls();
     }
 }
 
-void Entry::noteMissing(const std::string &server, const dispatch::Call &call)
+void Entry::handleMissingModel(const std::string &server, const dispatch::Call &call)
 {
     dispatch::handleMissingModel(m_dispatch, server, call, Clock::now());
 }
 
-void Entry::postPump()
+void Entry::postDispatchWaitingCalls()
 {
-    if (m_pumpPosted) {
+    if (m_dispatchPosted) {
         return;
     }
-    m_pumpPosted = true;
+    m_dispatchPosted = true;
     asio::post(m_context, [this] {
-        m_pumpPosted = false;
-        pump();
+        m_dispatchPosted = false;
+        dispatchWaitingCalls();
     });
 }
 
 /** Decides anew on all waiting calls, the most urgent first. */
-void Entry::pump()
+void Entry::dispatchWaitingCalls()
 {
     const TimePoint now = Clock::now();
     TimePoint next = TimePoint::max();
@@ -181,10 +181,10 @@
         }
     }
     if (next != TimePoint::max()) {
-        m_pumpTimer.expires_at(next);
-        m_pumpTimer.async_wait([this](boost::system::error_code error) {
+        m_waitingCallsTimer.expires_at(next);
+        m_waitingCallsTimer.async_wait([this](boost::system::error_code error) {
             if (!error) {
-                pump();
+                dispatchWaitingCalls();
             }
         });
     }
--- a/src/ingress/entrylinks.cpp
+++ b/src/ingress/entrylinks.cpp
@@ -47,18 +47,18 @@
                 observability::logDecision(line.text());
             }
         }
-        postPump();
+        postDispatchWaitingCalls();
     } else if (auto *state = std::get_if<fleetstate::FleetState>(&message)) {
-        takeState(std::move(*state));
+        applyState(std::move(*state));
     } else if (const auto *reply = std::get_if<fleetlink::LeaderReply>(&message)) {
-        takeReply(*reply);
+        handleLeaderReply(*reply);
     } else if (const auto *placement = std::get_if<fleetlink::PlacementUpdate>(&message)) {
         dispatch::applyPlacement(m_dispatch, *placement, now);
-        postPump();
+        postDispatchWaitingCalls();
     }
 }
 
-void Entry::takeState(fleetstate::FleetState state)
+void Entry::applyState(fleetstate::FleetState state)
 {
     if (state.index < m_state.index) {
         return;
@@ -86,22 +86,22 @@
     observability::DecisionLine line("state");
     line.add("index", m_state.index).add("catalog", m_state.catalogVersion).add("evacuated", m_state.evacuatedDomains.size());
     observability::logDecision(line.text());
-    postPump();
+    postDispatchWaitingCalls();
 }
 
-void Entry::takeReply(const fleetlink::LeaderReply &reply)
+void Entry::handleLeaderReply(const fleetlink::LeaderReply &reply)
 {
     const TimePoint now = Clock::now();
     m_confirmedAt = std::max(m_confirmedAt, static_cast<std::int64_t>(reply.stamp));
     m_dispatch.entryInstances = std::max(1U, reply.entries);
-    boundIdleConnections();
+    limitIdleConnections();
     m_dispatch.expectedLoadTime = milliseconds(reply.loadMilliseconds);
     m_sendsHistory = reply.wantsHistory;
     for (boost::asio::steady_timer *waiter : std::exchange(m_stateWaiters, {})) {
         waiter->cancel();
     }
     for (const fleetlink::NamedNumber &tokens : reply.tokens) {
-        allowance::addGrant(m_wallet, tokens.name, tokens.value, now);
+        allowance::addGrant(m_quotaCache, tokens.name, tokens.value, now);
     }
     for (auto &[id, server] : m_dispatch.servers) {
         server.othersRunning = 0;
@@ -116,7 +116,7 @@
             continue;
         }
         waiter->replies += reply.grantsTokens ? 1 : 0;
-        if (allowance::spend(m_wallet, waiter->organisation, waiter->tokens, now)) {
+        if (allowance::spend(m_quotaCache, waiter->organisation, waiter->tokens, now)) {
             waiter->granted = true;
             waiter->timer.cancel();
         } else if (waiter->replies >= 2) {
@@ -125,11 +125,11 @@
             waiter->timer.cancel();
         }
     }
-    postPump();
+    postDispatchWaitingCalls();
 }
 
 /** All instances together keep at most half of the connections that a backend server accepts; the rest is for calls that open new ones. */
-void Entry::boundIdleConnections()
+void Entry::limitIdleConnections()
 {
     if (!m_dispatch.catalog) {
         return;
@@ -167,12 +167,12 @@
 }
 
 /** Load pattern: refused callers return after the time they were told; without this they would start the same wait again. */
-void Entry::addReturning(TimePoint now)
+void Entry::addExpectedRetries(TimePoint now)
 {
-    std::erase_if(m_returning, [now](const auto &item) {
+    std::erase_if(m_expectedRetries, [now](const auto &item) {
         return now >= item.second.until;
     });
-    for (const auto &[key, calls] : m_returning) {
+    for (const auto &[key, calls] : m_expectedRetries) {
         fleetlink::AdapterDemand &demand = demandOf(key.first, key.second, calls.service);
         demand.waiting = std::max(demand.waiting, 1U);
     }
@@ -182,8 +182,8 @@
 void Entry::addHistory(fleetlink::EntryReport &report, TimePoint now) const
 {
     report.hasHistory = true;
-    for (const auto &[organisation, purse] : m_wallet.quotas) {
-        for (const allowance::Spending &spending : allowance::spendingHistory(m_wallet, purse, now)) {
+    for (const auto &[organisation, quota] : m_quotaCache.quotas) {
+        for (const allowance::Spending &spending : allowance::spendingHistory(m_quotaCache, quota, now)) {
             const auto age = std::chrono::duration_cast<milliseconds>(now - spending.begin).count();
             report.spent.push_back({organisation, spending.tokens, static_cast<unsigned>(age)});
         }
@@ -198,17 +198,17 @@
     if (const fleetlink::Peer *leader = m_hub->findDialed(m_leader)) {
         fleetlink::EntryReport report;
         report.stamp = static_cast<std::uint64_t>(fleetlink::bootMilliseconds());
-        for (auto &[organisation, purse] : m_wallet.quotas) {
+        for (auto &[organisation, quota] : m_quotaCache.quotas) {
             // A leader that does not know of a grant must not take it back.
-            if (const double expired = allowance::takeExpired(m_wallet, purse, now); expired > 0 && !m_sendsHistory) {
+            if (const double expired = allowance::takeExpired(m_quotaCache, quota, now); expired > 0 && !m_sendsHistory) {
                 report.returned.push_back({organisation, expired});
             }
-            purse.shortfall = 0;
+            quota.shortfall = 0;
             for (const TokenWaiter *waiter : m_tokenWaiters) {
-                purse.shortfall += waiter->organisation == organisation && !waiter->granted ? waiter->tokens : 0;
+                quota.shortfall += waiter->organisation == organisation && !waiter->granted ? waiter->tokens : 0;
             }
-            if (const double wish = allowance::tokensToRequest(m_wallet, purse, now); wish >= 1) {
-                report.tokenWishes.push_back({organisation, wish});
+            if (const double requestedTokens = allowance::tokensToRequest(m_quotaCache, quota, now); requestedTokens >= 1) {
+                report.tokenWishes.push_back({organisation, requestedTokens});
             }
         }
         if (m_sendsHistory) {
@@ -230,10 +230,10 @@
             if (!waiter->call->model.empty() && !waiter->choice) {
                 fleetlink::AdapterDemand &demand = demandOf(waiter->call->model, waiter->call->adapter, waiter->call->service);
                 ++demand.waiting;
-                demand.inTime += now + m_settings.adapterLoad <= waiter->call->objectiveEnd ? 1 : 0;
+                demand.inTime += now + m_settings.adapterLoadTime <= waiter->call->objectiveEnd ? 1 : 0;
             }
         }
-        addReturning(now);
+        addExpectedRetries(now);
         for (auto demand = m_demand.begin(); demand != m_demand.end();) {
             const auto running = m_running.find(demand->first);
             demand->second.running = running == m_running.end() ? 0 : running->second.calls;
--- a/src/ingress/headernames.h
+++ b/src/ingress/headernames.h
@@ -12,8 +12,8 @@
     std::string deadline; /**< Milliseconds that the caller waits. */
     std::string model; /**< "model" or "model/adapter". */
     std::string tokenCounts; /**< "prompt,output". */
-    std::string lastEvent; /**< Event after which a stream goes on. */
-    std::string answerSignature; /**< Proof of a backend server that the answer is its own. */
+    std::string lastEventId; /**< Event after which a stream goes on. */
+    std::string responseSignature; /**< Proof of a backend server that the answer is its own. */
     std::string notRun; /**< The backend server has not run the call. */
     std::string organisation; /**< Set for backend servers. */
     std::string expectedServer; /**< Id of the backend server that may run the call. */
--- a/src/ingress/answerwriter.cpp
+++ b/src/ingress/responsewriter.cpp
@@ -1,4 +1,4 @@
-#include "ingress/answerwriter.h"
+#include "ingress/responsewriter.h"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -28,9 +28,9 @@
 
 } // namespace
 
-unsigned statusOf(const OwnAnswer &answer) noexcept
+unsigned statusOf(const LocalResponse &response) noexcept
 {
-    return answer.status.value_or(httpStatus(answer.reason));
+    return response.status.value_or(httpStatus(response.reason));
 }
 
 asio::awaitable<bool> writeBytes(CallerConnection &caller, std::string_view bytes)
@@ -55,18 +55,18 @@
     co_return !error;
 }
 
-asio::awaitable<bool> writeOwnAnswer(CallerConnection &caller, std::string_view callId, const OwnAnswer &answer)
+asio::awaitable<bool> writeLocalResponse(CallerConnection &caller, std::string_view callId, const LocalResponse &response)
 {
-    const unsigned status = statusOf(answer);
-    const std::string body = R"({"error":")" + std::string(toString(answer.reason)) + R"(","detail":")" + answer.detail + "\"}\n";
+    const unsigned status = statusOf(response);
+    const std::string body = R"({"error":")" + std::string(toString(response.reason)) + R"(","detail":")" + response.detail + "\"}\n";
     std::string text = "HTTP/1.1 " + std::to_string(status) + " ";
     text.append(http::obsolete_reason(static_cast<http::status>(status)));
     text += "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
     if (!callId.empty()) {
         text.append(caller.entry.settings().headers.callId).append(": ").append(callId).append("\r\n");
     }
-    if (answer.retryAfter) {
-        text += "Retry-After: " + secondsText(*answer.retryAfter) + "\r\n";
+    if (response.retryAfter) {
+        text += "Retry-After: " + secondsText(*response.retryAfter) + "\r\n";
     }
     if (!caller.keepAlive) {
         text += "Connection: close\r\n";
--- a/src/ingress/answerwriter.h
+++ b/src/ingress/responsewriter.h
@@ -13,7 +13,7 @@
 namespace mimosahollow::ingress {
 
 /** An answer of the entry instance itself. */
-struct OwnAnswer
+struct LocalResponse
 {
     RefusalReason reason{};
     std::string detail;
@@ -21,10 +21,10 @@
     std::optional<unsigned> status; /**< Instead of the usual one of the reason. */
 };
 
-[[nodiscard]] unsigned statusOf(const OwnAnswer &answer) noexcept;
+[[nodiscard]] unsigned statusOf(const LocalResponse &response) noexcept;
 
 /** Writes @p answer. Returns false when the connection cannot be used further. */
-[[nodiscard]] boost::asio::awaitable<bool> writeOwnAnswer(CallerConnection &caller, std::string_view callId, const OwnAnswer &answer);
+[[nodiscard]] boost::asio::awaitable<bool> writeLocalResponse(CallerConnection &caller, std::string_view callId, const LocalResponse &response);
 
 /** Writes @p bytes. Returns false when the connection has ended. */
 [[nodiscard]] boost::asio::awaitable<bool> writeBytes(CallerConnection &caller, std::string_view bytes);
--- a/src/ingress/serverexchange.cpp
+++ b/src/ingress/serverexchange.cpp
@@ -20,8 +20,8 @@
 constexpr std::size_t readBytes = 8192; // an event is some hundred bytes
 constexpr std::size_t headBytes = 16'384;
 // Answers to earlier calls that may lie before the one that is due; more of them mean that the connection is out of step.
-constexpr unsigned maximumStrayAnswers = 2;
-constexpr auto token = asio::as_tuple(asio::use_awaitable);
+constexpr unsigned maximumStaleResponses = 2;
+constexpr auto completionToken = asio::as_tuple(asio::use_awaitable);
 
 ExchangeError toExchangeError(const boost::system::error_code &error)
 {
@@ -47,7 +47,7 @@
 } // namespace
 
 /** The request while it is being sent; an early answer may arrive before its end. */
-struct ServerExchange::Outgoing
+struct ServerExchange::OutgoingRequest
 {
     std::string head;
     std::string body;
@@ -83,14 +83,14 @@
 
 asio::awaitable<ExchangeError> ServerExchange::begin(std::string head, const std::string &body, const std::string &callId, TimePoint deadline)
 {
-    m_outgoing = std::make_shared<Outgoing>();
-    m_outgoing->head = std::move(head);
-    m_outgoing->body = body;
-    const std::array<asio::const_buffer, 2> buffers{asio::buffer(m_outgoing->head), asio::buffer(m_outgoing->body)};
-    asio::async_write(m_connection->stream.socket(), buffers, [outgoing = m_outgoing](boost::system::error_code error, std::size_t) {
+    m_outgoingRequest = std::make_shared<OutgoingRequest>();
+    m_outgoingRequest->head = std::move(head);
+    m_outgoingRequest->body = body;
+    const std::array<asio::const_buffer, 2> buffers{asio::buffer(m_outgoingRequest->head), asio::buffer(m_outgoingRequest->body)};
+    asio::async_write(m_connection->stream.socket(), buffers, [outgoing = m_outgoingRequest](boost::system::error_code error, std::size_t) {
         outgoing->isDone = !error;
     });
-    for (unsigned stray = 0; stray <= maximumStrayAnswers; ++stray) {
+    for (unsigned staleResponses = 0; staleResponses <= maximumStaleResponses; ++staleResponses) {
         const ExchangeError error = co_await readHead(deadline);
         if (error != ExchangeError::None) {
             co_return error;
@@ -118,7 +118,7 @@
         m_parser->header_limit(headBytes);
         m_parser->body_limit(boost::none);
         m_connection->stream.expires_at(deadline);
-        if (const auto [error, count] = co_await http::async_read_header(m_connection->stream, m_connection->buffer, *m_parser, token); error) {
+        if (const auto [error, count] = co_await http::async_read_header(m_connection->stream, m_connection->buffer, *m_parser, completionToken); error) {
             co_return toExchangeError(error);
         }
     } while (m_parser->get().result_int() < 200);
@@ -127,15 +127,15 @@
 
 asio::awaitable<ExchangeError> ServerExchange::readBody(std::string &out, TimePoint deadline)
 {
-    m_space.resize(readBytes);
+    m_readBuffer.resize(readBytes);
     while (!m_parser->is_done()) {
         auto &body = m_parser->get().body();
-        body.data = m_space.data();
-        body.size = m_space.size();
+        body.data = m_readBuffer.data();
+        body.size = m_readBuffer.size();
         m_connection->stream.expires_at(deadline);
-        const auto [error, count] = co_await http::async_read_some(m_connection->stream, m_connection->buffer, *m_parser, token);
-        const std::size_t filled = m_space.size() - body.size;
-        out.append(m_space.data(), filled);
+        const auto [error, count] = co_await http::async_read_some(m_connection->stream, m_connection->buffer, *m_parser, completionToken);
+        const std::size_t filled = m_readBuffer.size() - body.size;
+        out.append(m_readBuffer.data(), filled);
         if (error && error != http::error::need_buffer) {
             co_return toExchangeError(error);
         }
@@ -148,7 +148,7 @@
 
 void ServerExchange::finish()
 {
-    const bool isKept = m_parser->keep_alive() && m_outgoing->isDone && !m_aborted;
+    const bool isKept = m_parser->keep_alive() && m_outgoingRequest->isDone && !m_aborted;
     if (isKept) {
         if (const auto limit = idleLimit(header("Keep-Alive"))) {
             // The backend server counts from its own last byte; a call that crosses its close would be lost.
--- a/src/ingress/serverexchange.h
+++ b/src/ingress/serverexchange.h
@@ -48,16 +48,16 @@
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
-    struct Outgoing;
+    struct OutgoingRequest;
 
     boost::asio::awaitable<ExchangeError> readHead(TimePoint deadline);
 
     Entry &m_entry;
     std::string m_address;
     gateway::UpstreamPointer m_connection;
-    std::shared_ptr<Outgoing> m_outgoing;
+    std::shared_ptr<OutgoingRequest> m_outgoingRequest;
     std::optional<Parser> m_parser;
-    std::vector<char> m_space;
+    std::vector<char> m_readBuffer;
     bool m_aborted = false;
 };
 
--- a/tests/ingress/ingress.cpp
+++ b/tests/ingress/ingress.cpp
@@ -10,35 +10,35 @@
 
 namespace {
 
-HeaderNames names()
+HeaderNames makeHeaderNames()
 {
-    HeaderNames made;
-    made.callId = "Call-Id";
-    made.deadline = "Patience";
-    made.model = "Model-Name";
-    made.tokenCounts = "Counts";
-    made.lastEvent = "Last-Event-Id";
-    made.answerSignature = "Signature";
-    made.notRun = "Not-Run";
-    made.organisation = "Organisation";
-    made.expectedServer = "Server-Id";
-    made.expectedVersion = "Model-Version";
-    made.priority = "Urgency";
-    made.reserved = {"Reserve"};
-    return made;
+    HeaderNames headerNames;
+    headerNames.callId = "Call-Id";
+    headerNames.deadline = "Patience";
+    headerNames.model = "Model-Name";
+    headerNames.tokenCounts = "Counts";
+    headerNames.lastEventId = "Last-Event-Id";
+    headerNames.responseSignature = "Signature";
+    headerNames.notRun = "Not-Run";
+    headerNames.organisation = "Organisation";
+    headerNames.expectedServer = "Server-Id";
+    headerNames.expectedVersion = "Model-Version";
+    headerNames.priority = "Urgency";
+    headerNames.reserved = {"Reserve"};
+    return headerNames;
 }
 
-CallerRequest request()
+CallerRequest makeRequest()
 {
-    CallerRequest made(http::verb::post, "/a/b?c=d", 11);
-    made.set(http::field::host, "one.example:80");
-    made.set(http::field::authorization, "Bearer key-1");
-    made.set("Call-Id", "q1");
-    made.set("Model-Name", "base/a7");
-    made.set("Counts", "1460,80");
-    made.body() = "body";
-    made.set(http::field::content_length, "4");
-    return made;
+    CallerRequest request(http::verb::post, "/a/b?c=d", 11);
+    request.set(http::field::host, "one.example:80");
+    request.set(http::field::authorization, "Bearer key-1");
+    request.set("Call-Id", "q1");
+    request.set("Model-Name", "base/a7");
+    request.set("Counts", "1460,80");
+    request.body() = "body";
+    request.set(http::field::content_length, "4");
+    return request;
 }
 
 } // namespace
@@ -46,54 +46,54 @@
 // Guards against requests whose end is in doubt: what follows could be taken for another caller's request.
 TEST_CASE("A request with doubtful framing is refused")
 {
-    CallerRequest made = request();
-    REQUIRE(findFraming(made).empty());
+    CallerRequest request = makeRequest();
+    REQUIRE(findFramingError(request).empty());
 
     SECTION("no host, or two")
     {
-        made.insert(http::field::host, "two.example");
-        CHECK_FALSE(findFraming(made).empty());
-        made.erase(http::field::host);
-        CHECK_FALSE(findFraming(made).empty());
+        request.insert(http::field::host, "two.example");
+        CHECK_FALSE(findFramingError(request).empty());
+        request.erase(http::field::host);
+        CHECK_FALSE(findFramingError(request).empty());
     }
     SECTION("two keys")
     {
-        made.insert(http::field::authorization, "Bearer key-2");
-        CHECK_FALSE(findFraming(made).empty());
+        request.insert(http::field::authorization, "Bearer key-2");
+        CHECK_FALSE(findFramingError(request).empty());
     }
     SECTION("a transfer encoding that is not exactly chunked")
     {
-        made.erase(http::field::content_length);
+        request.erase(http::field::content_length);
         for (const char *encoding : {"xchunked", "identity", "gzip, chunked"}) {
-            made.set(http::field::transfer_encoding, encoding);
-            CHECK_FALSE(findFraming(made).empty());
+            request.set(http::field::transfer_encoding, encoding);
+            CHECK_FALSE(findFramingError(request).empty());
         }
-        made.set(http::field::transfer_encoding, "chunked");
-        CHECK(findFraming(made).empty());
+        request.set(http::field::transfer_encoding, "chunked");
+        CHECK(findFramingError(request).empty());
     }
     SECTION("both a length and a transfer encoding")
     {
-        made.set(http::field::transfer_encoding, "chunked");
-        CHECK_FALSE(findFraming(made).empty());
+        request.set(http::field::transfer_encoding, "chunked");
+        CHECK_FALSE(findFramingError(request).empty());
     }
 }
 
 // Guards against calls that run with headers of the caller that only the system may set, or with its key.
 TEST_CASE("The forwarded head has the caller's headers but for those of the system")
 {
-    CallerRequest made = request();
-    made.set("Organisation", "forged");
-    made.set("Reserve", "forged");
-    made.set("Urgency", "0");
-    made.set("Custom", "kept");
-    made.set(http::field::connection, "keep-alive, Custom-Hop");
-    made.set("Custom-Hop", "dropped");
+    CallerRequest request = makeRequest();
+    request.set("Organisation", "forged");
+    request.set("Reserve", "forged");
+    request.set("Urgency", "0");
+    request.set("Custom", "kept");
+    request.set(http::field::connection, "keep-alive, Custom-Hop");
+    request.set("Custom-Hop", "dropped");
     ForwardedHeaders added;
     added.organisation = "one";
     added.expectedServer = "i-1";
     added.expectedVersion = 3;
     added.remaining = milliseconds(1200);
-    const std::string head = makeForwardedHead(made, names(), added);
+    const std::string head = makeForwardedHead(request, makeHeaderNames(), added);
 
     CHECK(head.starts_with("POST /a/b?c=d HTTP/1.1\r\n"));
     CHECK(head.find("Custom: kept\r\n") != std::string::npos);
@@ -110,14 +110,14 @@
 
 TEST_CASE("The head of a call is decoded once")
 {
-    const CallHead head = readHead(request(), names());
+    const CallHead head = parseCallHead(makeRequest(), makeHeaderNames());
     CHECK(head.host == "one.example");
     CHECK(head.path == "/a/b");
     CHECK(head.key == "key-1");
     CHECK(head.model == "base");
     CHECK(head.adapter == "a7");
     CHECK(head.tokens == 1540.0);
-    CHECK_FALSE(head.patience);
+    CHECK_FALSE(head.timeout);
 }
 
 // Guards against half events, missing ones and doubled ones where a second backend server continues a stream.
