--- a/src/ingress/callerconnection.h
+++ b/src/ingress/callerconnection.h
@@ -14,7 +14,7 @@
 
 using CallerRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-/** Connection of a caller; carries one call at a time. */
+/** Client connection; processes one call at a time. */
 struct CallerConnection
 {
     CallerConnection(Entry &owner, boost::asio::ip::tcp::socket socket)
@@ -25,7 +25,7 @@
     boost::beast::tcp_stream stream;
     boost::beast::flat_buffer buffer;
     std::shared_ptr<gateway::CallerWatch> watch;
-    bool keepAlive = true; /**< Whether the connection can carry another call. */
+    bool keepAlive = true; /**< Whether the connection stays open after the current call. */
 };
 
 } // namespace mimosahollow::ingress
--- a/src/ingress/callerrequest.h
+++ b/src/ingress/callerrequest.h
@@ -10,40 +10,44 @@
 
 namespace mimosahollow::ingress {
 
-/** What the headers of a request say about its call. */
+/** Call parameters decoded from the request line and headers. */
 struct CallHead
 {
     std::string id;
-    std::string host; /**< Without a port. */
-    std::string path; /**< Without the query. */
-    std::string key; /**< Empty when there is none. */
+    std::string host; /**< Without the port. */
+    std::string path; /**< Without the query string. */
+    std::string key; /**< API key; empty if the request has none. */
     std::string model;
     std::string adapter;
-    std::optional<double> tokens; /**< Prompt and output together. */
+    std::optional<double> tokens; /**< Sum of prompt and output tokens. */
     std::optional<std::uint64_t> lastEventId;
-    std::optional<Duration> timeout; /**< For how long the caller waits. */
+    std::optional<Duration> timeout; /**< How long the caller waits for the response. */
 };
 
-/** Why a request is not proper; empty when it is. Such a request may hide another one, so its connection must be closed. */
+/**
+ * Returns an error message if the message framing of @p request is invalid or ambiguous, otherwise an empty string.
+ *
+ * Such a request may smuggle another one; its connection must be closed.
+ */
 [[nodiscard]] std::string findFramingError(const CallerRequest &request);
 
 [[nodiscard]] CallHead parseCallHead(const CallerRequest &request, const HeaderNames &names);
 
-/** What the entry instance adds to a request for a backend server. */
+/** Headers that the entry instance adds to a request that it forwards to a backend server. */
 struct ForwardedHeaders
 {
-    std::string organisation; /**< Empty for an open route. */
+    std::string organisation; /**< Empty on a route without authentication. */
     std::string expectedServer;
-    std::uint64_t expectedVersion = 0; /**< 0: any. */
-    Duration remaining{};
+    std::uint64_t expectedVersion = 0; /**< 0: any version. */
+    Duration remaining{}; /**< Time until the deadline of the call. */
     std::optional<int> priority;
-    std::optional<std::uint64_t> lastEventId; /**< Continues a stream after this event. */
+    std::optional<std::uint64_t> lastEventId; /**< Resumes a stream after this event. */
 };
 
-/** Head of the request for a backend server; the body follows unchanged. */
+/** Returns the head of the request to a backend server. The body is forwarded unchanged. */
 [[nodiscard]] std::string makeForwardedHead(const CallerRequest &request, const HeaderNames &names, const ForwardedHeaders &added);
 
-/** Whether @p name concerns only one connection. @p connectionHeader is the value of the Connection header. */
+/** Whether @p name is a hop-by-hop header. @p connectionHeader is the value of the Connection header. */
 [[nodiscard]] bool isHopByHop(std::string_view name, std::string_view connectionHeader);
 
 } // namespace mimosahollow::ingress
--- a/src/ingress/callersession.h
+++ b/src/ingress/callersession.h
@@ -7,7 +7,7 @@
 
 class Entry;
 
-/** Serves the requests of one caller's connection until it ends. */
+/** Serves the requests on one client connection until it is closed. */
 boost::asio::awaitable<void> serveCaller(Entry &entry, boost::asio::ip::tcp::socket socket);
 
 } // namespace mimosahollow::ingress
--- a/src/ingress/callrelay.h
+++ b/src/ingress/callrelay.h
@@ -7,7 +7,11 @@
 
 namespace mimosahollow::ingress {
 
-/** Serves one proper request: admission, choice of a backend server, attempts, answer. Returns false when the connection has ended. */
+/**
+ * Serves one request with valid framing: admission, choice of a backend server, attempts, response.
+ *
+ * Returns false when the connection cannot be used for another call.
+ */
 [[nodiscard]] boost::asio::awaitable<bool> relayCall(CallerConnection &caller, const CallerRequest &request);
 
 } // namespace mimosahollow::ingress
--- a/src/ingress/entry.h
+++ b/src/ingress/entry.h
@@ -29,20 +29,20 @@
 
 namespace mimosahollow::ingress {
 
-/** The caller left while its call waited. */
+/** The caller disconnected while its call waited. */
 struct CallerGone
 {
 };
 
 enum class TokenOutcome : std::uint8_t {
     Acquired,
-    OverRate, /**< The leader has granted less than the call needs. */
-    NoLeader, /**< No leader has answered in time. */
+    OverRate, /**< The leader granted fewer tokens than the call needs. */
+    NoLeader, /**< No leader replied in time. */
 };
 
 using ServerChoice = std::variant<dispatch::Send, dispatch::Refuse, CallerGone>;
 
-/** A process that callers connect to. Runs on one event loop. */
+/** Entry instance: accepts calls from clients and relays them to backend servers. Runs on one event loop. */
 class Entry
 {
 public:
@@ -51,45 +51,46 @@
     Entry(const Entry &) = delete;
     Entry &operator=(const Entry &) = delete;
 
-    /** Opens the listener for callers and the links. Returns an error message or nothing. */
+    /** Opens the client listener and the fleet links. Returns an error message, or an empty string on success. */
     [[nodiscard]] std::string start();
     void setSeeds(const std::vector<std::string> &seeds);
-    /** Finishes the calls at hand; @p stopped is called when the last one has ended or the drain time is over. */
+    /** Starts draining. Calls @p stopped when the lame-duck period is over and all sessions are closed, or when the drain timeout expires. */
     void stop(std::function<void()> stopped);
-    /** Whether callers should be sent here. */
+    /** Whether the load balancer should send callers to this instance. */
     [[nodiscard]] bool isReady() const;
     [[nodiscard]] std::string metricsText() const;
 
-    // For the sessions of callers, all on the event loop.
+    // For client sessions; to be called on the event loop only.
 
     [[nodiscard]] const EntrySettings &settings() const noexcept;
     [[nodiscard]] boost::asio::io_context &context() noexcept;
     [[nodiscard]] dispatch::DispatchState &dispatchState() noexcept;
     [[nodiscard]] gateway::UpstreamConnections &upstream() noexcept;
     [[nodiscard]] observability::ThreadMetrics &metrics() noexcept;
-    /** Null before the first catalog. */
+    /** Null until the first catalog arrives. */
     [[nodiscard]] const std::shared_ptr<const catalog::CatalogIndex> &catalog() const noexcept;
-    /** Whether the leader has confirmed the state lately enough to trust keys. */
+    /** Whether the leader confirmed the state recently enough for API keys to be accepted. */
     [[nodiscard]] bool isStateCurrent() const;
+    /** Time since the newest report that the leader has confirmed was sent. */
     [[nodiscard]] Duration stateAge() const;
-    /** Waits a moment for a confirmed state, as after a start or an election. Returns whether there is one. */
+    /** Waits up to the state timeout for a confirmed state, as after a start or an election. Returns whether there is one. */
     [[nodiscard]] boost::asio::awaitable<bool> waitForState(gateway::CallerWatch &watch);
     [[nodiscard]] bool isStopping() const noexcept;
     [[nodiscard]] bool isLameDuckOver() const;
-    /** Takes the tokens of a call, waiting for the leader when needed. */
+    /** Takes @p tokens from the quota of @p organisation; waits for a grant of the leader if the cached quota is not sufficient. */
     [[nodiscard]] boost::asio::awaitable<TokenOutcome> acquireTokens(const catalog::OrganisationSpec &organisation, double tokens, gateway::CallerWatch &watch);
     void refundTokens(const std::string &organisation, double tokens);
-    /** Waits until a backend server can take @p call, and counts it there. */
+    /** Waits until a backend server can accept @p call and counts the call as running on it. */
     [[nodiscard]] boost::asio::awaitable<ServerChoice> chooseServer(const dispatch::Call &call, gateway::CallerWatch &watch);
     void callEnded(const std::string &server, const dispatch::Call &call, dispatch::CallResult result);
-    /** Counts a first attempt, for the retry budget. */
+    /** Counts the first attempt of a call towards the retry budget of @p service. */
     void countRequest(const std::string &service);
     [[nodiscard]] bool takeRetry(const std::string &service);
     void handleMissingModel(const std::string &server, const dispatch::Call &call);
 
     void sessionOpened();
     void sessionClosed();
-    /** @p stream waits for a request: it is closed when the time for late callers is over. Ends with removeIdleStream(). */
+    /** Registers @p stream as waiting for a request; it is closed at the end of the lame-duck period unless removeIdleStream() was called. */
     std::list<boost::beast::tcp_stream *>::iterator addIdleStream(boost::beast::tcp_stream &stream);
     void removeIdleStream(std::list<boost::beast::tcp_stream *>::iterator position);
 
@@ -137,14 +138,14 @@
     fleetstate::FleetState m_state;
     dispatch::DispatchState m_dispatch;
     allowance::QuotaCache m_quotaCache;
-    std::string m_leader; // link address
-    bool m_sendsHistory = true; // until the leader has what was spent before its time
-    std::int64_t m_confirmedAt = 0; // boot clock, milliseconds, when the newest confirmed report was sent; 0: never
+    std::string m_leader; // link address; empty if unknown
+    bool m_sendsHistory = true; // until the leader knows what was spent before its election
+    std::int64_t m_confirmedAt = 0; // send time of the newest confirmed report, boot clock in milliseconds; 0: none
     TimePoint m_reportAt{};
     TimePoint m_lastReport{};
     std::map<std::pair<std::string, std::string>, fleetlink::AdapterDemand> m_demand; // since the last report
-    std::map<std::pair<std::string, std::string>, RunningCalls> m_running; // calls on engines, by model and adapter
-    /** Adapters of refused calls that will come back, and until when; they are loaded meanwhile. */
+    std::map<std::pair<std::string, std::string>, RunningCalls> m_running; // calls on inference engines, by model and adapter
+    /** Adapters of refused calls that are expected to be retried; they are reported as wanted until the retry is due. */
     std::map<std::pair<std::string, std::string>, ExpectedRetries> m_expectedRetries;
     std::list<Waiter *> m_waiters; // most urgent first
     std::list<TokenWaiter *> m_tokenWaiters;
--- a/src/ingress/entryinternal.h
+++ b/src/ingress/entryinternal.h
@@ -30,7 +30,7 @@
     boost::asio::steady_timer timer;
     std::string organisation;
     double tokens = 0;
-    unsigned replies = 0; // of the leader since the wait began
+    unsigned replies = 0; // from the leader since the wait began
     std::optional<bool> granted;
     bool isAbandoned = false;
 };
--- a/src/ingress/eventrelay.h
+++ b/src/ingress/eventrelay.h
@@ -8,18 +8,18 @@
 namespace mimosahollow::ingress {
 
 /**
- * Server-sent events of one call on their way to the caller.
+ * State of relaying the server-sent events of one call.
  *
- * Only whole events are passed on: another backend server can then continue after the last one.
+ * Only complete events are forwarded, so that another backend server can resume the stream after the last one.
  */
 struct EventRelay
 {
-    std::string partial; /**< Start of an event whose end has not arrived. */
-    std::optional<std::uint64_t> lastId; /**< Of the newest event that was passed on, or that the caller has. */
-    std::uint64_t events = 0; /**< Passed on. */
+    std::string partial; /**< Received part of an incomplete event. */
+    std::optional<std::uint64_t> lastId; /**< Id of the newest event that was forwarded or that the caller already has. */
+    std::uint64_t events = 0; /**< Number of forwarded events. */
 };
 
-/** Appends to @p out the whole events in the stream and @p bytes. Events up to lastId, which the caller has, are left out. */
+/** Adds @p bytes to the stream and appends the events that are now complete to @p out, skipping those with an id up to lastId. */
 void relayEvents(EventRelay &relay, std::string_view bytes, std::string &out);
 
 } // namespace mimosahollow::ingress
--- a/src/ingress/responsewriter.h
+++ b/src/ingress/responsewriter.h
@@ -12,24 +12,24 @@
 
 namespace mimosahollow::ingress {
 
-/** An answer of the entry instance itself. */
+/** Response that the entry instance generates itself. */
 struct LocalResponse
 {
     RefusalReason reason{};
     std::string detail;
     std::optional<Duration> retryAfter;
-    std::optional<unsigned> status; /**< Instead of the usual one of the reason. */
+    std::optional<unsigned> status; /**< Overrides the default HTTP status of the reason. */
 };
 
 [[nodiscard]] unsigned statusOf(const LocalResponse &response) noexcept;
 
-/** Writes @p answer. Returns false when the connection cannot be used further. */
+/** Writes @p response. Returns false when the write failed. */
 [[nodiscard]] boost::asio::awaitable<bool> writeLocalResponse(CallerConnection &caller, std::string_view callId, const LocalResponse &response);
 
-/** Writes @p bytes. Returns false when the connection has ended. */
+/** Writes @p bytes. Returns false when the write failed. */
 [[nodiscard]] boost::asio::awaitable<bool> writeBytes(CallerConnection &caller, std::string_view bytes);
 
-/** Writes @p bytes as one chunk of a chunked body. */
+/** Writes @p bytes as one chunk of a chunked body. Returns false when the write failed. */
 [[nodiscard]] boost::asio::awaitable<bool> writeChunk(CallerConnection &caller, std::string_view bytes);
 
 } // namespace mimosahollow::ingress
--- a/src/ingress/serverexchange.h
+++ b/src/ingress/serverexchange.h
@@ -17,12 +17,12 @@
 
 enum class ExchangeError : std::uint8_t {
     None,
-    Unreachable, /**< No connection; no byte was sent. */
-    Broken, /**< The connection ended, or what came is no answer. The call may have run. */
+    Unreachable, /**< The connection failed; no byte was sent. */
+    Broken, /**< The connection was closed or the response is invalid. The call may have been executed. */
     TimedOut,
 };
 
-/** One request to a backend server and its answer. */
+/** One HTTP request to a backend server and its response. */
 class ServerExchange
 {
 public:
@@ -31,15 +31,15 @@
     ServerExchange(const ServerExchange &) = delete;
     ServerExchange &operator=(const ServerExchange &) = delete;
 
-    /** Opens a connection or takes an idle one. */
+    /** Takes an idle connection or opens a new one. */
     [[nodiscard]] boost::asio::awaitable<ExchangeError> open(TimePoint deadline);
-    /** Sends the request and reads the head of the answer to the call @p callId. */
+    /** Sends the request and reads the head of the response to the call @p callId. */
     [[nodiscard]] boost::asio::awaitable<ExchangeError> begin(std::string head, const std::string &body, const std::string &callId, TimePoint deadline);
-    /** Reads more of the body into @p out; an empty one without an error is the complete end. */
+    /** Appends more of the body to @p out. Appending nothing without an error means that the body is complete. */
     [[nodiscard]] boost::asio::awaitable<ExchangeError> readBody(std::string &out, TimePoint deadline);
-    /** The answer was read to its end; the connection may carry another call. */
+    /** To be called when the response was read completely. Returns the connection to the pool if it can be reused. */
     void finish();
-    /** Ends the connection, which makes the backend server stop its work. */
+    /** Closes the connection, which makes the backend server cancel the call. */
     void abort();
 
     [[nodiscard]] unsigned status() const;
