--- a/src/scheduling/eviction.cpp
+++ b/src/scheduling/eviction.cpp
@@ -19,12 +19,13 @@
     return isUsable(state, server) && server.adapterSlots > 0 && ordersAllowed && !present;
 }
 
-// Without this replica, the others have to run its requests. Up to this fraction of their slots in use, that causes no waits.
+// After the eviction of a replica, the other servers with the adapter have to run its requests. While the adapter uses at most
+// this fraction of their request slots, that causes no waits.
 constexpr double spareReplicaLoad = 0.5;
 // A spare replica may be needed again, so it keeps a small part of its usefulness.
 constexpr double spareReplicaFactor = 0.1;
 
-/** Whether the other usable servers with the adapter could also run the requests of this one. */
+/** Whether the other usable servers with the adapter could also run the requests of this server for it. */
 bool isSpareReplica(const PoolState &state, const ServerState &server, AdapterId adapter) noexcept
 {
     std::uint32_t users = 0;
@@ -73,7 +74,10 @@
     return victim;
 }
 
-/** Load of the server: servers with free request slots come first, as the waiting request can start there at once. */
+/**
+ * Cost of a load into a free adapter slot of the server: how busy the server is. Servers with free request slots come first, as
+ * the waiting request can start there at once.
+ */
 double serverCost(const ServerState &server) noexcept
 {
     return loadOf(server);
--- a/src/scheduling/loads.cpp
+++ b/src/scheduling/loads.cpp
@@ -18,9 +18,10 @@
 constexpr double replicaAdvantage = 0.5;
 // Each additional waiting request for the adapter moves its load ahead by this time.
 constexpr Duration waiterBonus = milliseconds(100);
-// Loads for requests with a distant deadline are overtaken by more urgent ones for at most this time after the arrival.
+// A load counts as due at most this long after the arrival of its request, so that more urgent loads cannot overtake it forever
+// when the deadline is distant.
 constexpr Duration longestLoadDelay = seconds(10);
-// Limits the shift. The delay reaches loadRetryLongest after far fewer doublings.
+// Limits the shift that computes the retry delay. The delay reaches loadRetryLongest after far fewer doublings.
 constexpr std::uint16_t mostDoublings = 16;
 
 /** An adapter that should be loaded, with the waiting request that determines its rank. */
@@ -155,8 +156,8 @@
 }
 
 /**
- * A replica on a full server helps only an organisation that is served before others there, so not the active one with the
- * most served tokens.
+ * Whether the load needs a server with a free request slot. On a full server, a replica helps only an organisation that is
+ * served before another one there, so it does not help the active organisation with the most served tokens.
  */
 bool needsFreeSlot(const PoolState &state, const LoadCandidate &candidate) noexcept
 {
@@ -250,7 +251,8 @@
     for (const OrganisationState &other : state.organisations) {
         active += other.waiting > 0 ? 1 : 0;
     }
-    // Loads are shared fairly: of each other organisation at most as many go first as this one has, including the new one.
+    // Loads are shared fairly: each other organisation gets at most as many loads before this one as this organisation needs,
+    // including this one.
     const double ahead = std::min<double>(all, (own + 1.0) * std::max(active, 1U) - 1);
     const double shortOfTokens = std::max(0.0, ahead + 1 - state.loadTokens);
     Duration wait = fromSeconds(shortOfTokens / state.settings.loadsPerSecond + state.averageLoadSeconds);
--- a/src/scheduling/lookup.cpp
+++ b/src/scheduling/lookup.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// A double holds up to 2^1023; rescaling at 2^256 leaves ample headroom for sums.
+// The unit of popularity grows with time. A double holds up to 2^1023; rescaling once the unit exceeds 2^256 leaves ample headroom
+// for sums.
 constexpr double largestExponent = 256;
 
 template<typename Element>
--- a/src/scheduling/queue.cpp
+++ b/src/scheduling/queue.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-// Handicap per output token of a request, so that shorter requests may overtake it; about the time an engine needs for a token.
+// Added to the arrival time for each output token of a request, so that shorter requests may overtake it; about the time that an
+// engine needs for a token.
 constexpr std::chrono::microseconds handicapPerToken(5000);
-// An organisation that used idle capacity keeps at most this debt when others begin to wait: about the tokens that one
-// server generates in 30 s.
+// An organisation that used idle capacity earlier keeps at most this debt when it becomes active again: about the tokens that
+// one server generates in 30 s.
 constexpr double largestDebtTokens = 20000;
 constexpr double largestDebtLoads = 20;
 
@@ -28,7 +29,7 @@
     return record.arrival + std::min(handicap, state.settings.maximumHandicap);
 }
 
-/** Sets @p best to the first in order of @p best and the waiting requests of the adapter. */
+/** Replaces @p best by a waiting request of the adapter if one is to be served before it. */
 void considerList(const PoolState &state, std::uint32_t adapter, std::uint32_t &best) noexcept
 {
     for (std::uint32_t i = state.adapters[adapter].firstWaiting; i != noIndex; i = state.records[i].next) {
--- a/src/scheduling/requests.cpp
+++ b/src/scheduling/requests.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr double serviceTimeWeight = 0.02; // weight of the latest grant in the moving average
-// Refusing a request that would finish in time is worse than running one that finishes late, so the run time estimate follows
-// fast grants: about one in twenty is faster.
+// Refusing a request that would finish in time is worse than running one that finishes late. The estimate of the run time
+// therefore follows fast grants more closely than slow ones: about one grant in twenty is faster than the estimate.
 constexpr double fallWeight = 0.1;
 constexpr double riseWeight = 0.005;
 constexpr Duration overloadedRetry = seconds(1); // about the time in which a full queue advances
@@ -95,7 +95,7 @@
         return;
     }
     if (known != noIndex) {
-        // An entry instance runs one attempt at a time, so the release of the earlier grant was lost.
+        // An entry instance runs one attempt of a request at a time. As it asks again, the release of the earlier grant was lost.
         const std::uint32_t server = state.records[known].server;
         endGrant(state, known, state.records[known].chargedTokens);
         grantWaiting(state, server, now, actions);
--- a/src/scheduling/residency.cpp
+++ b/src/scheduling/residency.cpp
@@ -16,8 +16,8 @@
 }
 
 /**
- * Updates the slots that are older than the report lag from the list. Returns true when at least one such resident adapter is
- * missing and the list confirms no resident adapter.
+ * Applies the list to the slots whose last change is older than the report lag. Returns true if a resident adapter was removed
+ * and the list confirms no other one, as after a restart of the engine.
  */
 bool settleSlots(PoolState &state, std::uint32_t server, const std::vector<AdapterId> &listed, TimePoint now)
 {
--- a/src/serving/calls.cpp
+++ b/src/serving/calls.cpp
@@ -190,7 +190,7 @@
         return; // tickCalls() tries again
     }
     routing::PoolSummary &pool = state.summaries[choice->pool];
-    // Until the next summary the adapter counts as resident in this pool, so that further calls do not have it loaded in others too.
+    // Until the next summary the adapter counts as resident in this pool, so that further calls do not cause loads in other pools.
     const auto position = std::lower_bound(pool.resident.begin(), pool.resident.end(), call.adapter);
     if (call.adapter != AdapterId{} && (position == pool.resident.end() || *position != call.adapter)) {
         pool.resident.insert(position, call.adapter);
@@ -329,7 +329,7 @@
     for (const RequestId &id : expired) {
         const auto found = state.calls.find(id);
         if (found == state.calls.end()) {
-            continue; // the end of another call has ended it too
+            continue; // removed when another call ended
         }
         const Call &call = found->second;
         if (call.abandoned) {
--- a/src/serving/serving.cpp
+++ b/src/serving/serving.cpp
@@ -207,7 +207,7 @@
             admission::setPeer(state.buckets, owner.domain, owner.owner, owner.fencing, now);
         }
         if (owner.domain == home && owner.owner != self && state.buckets.epoch != 0) {
-            static_cast<void>(admission::stopOwnership(state.buckets, now)); // the balance under a lost lease must not be handed over
+            static_cast<void>(admission::stopOwnership(state.buckets, now)); // after a lost lease the returned balance must not be handed over
         }
     }
     rebuildSummaries(state);
--- a/tests/scheduling/ownership.cpp
+++ b/tests/scheduling/ownership.cpp
@@ -61,7 +61,7 @@
             pool.submitRequest(8);
             REQUIRE(pool.all<Order>().empty());
         }
-        SECTION("until it is released under the number of the earlier owner")
+        SECTION("until it is released under the fencing number of the earlier owner")
         {
             pool.actions.clear();
             release(pool.state, {{3, 1}, 40, 5, ReleaseOutcome::Completed, 100, milliseconds(50)}, pool.now, pool.actions);
--- a/tests/serving/randomrun.cpp
+++ b/tests/serving/randomrun.cpp
@@ -132,7 +132,7 @@
     fleet.loseCommitAnswers = false;
     fleet.configure();
     fleet.advance(settleTime);
-    // Further calls on each instance run, so no slot, token or pool has been lost.
+    // Further calls must run on each instance. They could not if a slot, a token or a pool had been lost.
     for (std::size_t entry = 0; entry < 4; ++entry) {
         const std::array ids{fleet.callModel(entry, "base:greeting", 1, "greeting@1"), fleet.callPlainService(entry, "/registry/x", 1)};
         fleet.advance(seconds(3));
--- a/tests/serving/rules.cpp
+++ b/tests/serving/rules.cpp
@@ -197,7 +197,7 @@
             REQUIRE(fleet.calls[id].runs <= 3);
             attempts += fleet.calls[id].runs;
         }
-        REQUIRE(attempts <= calls + calls / 10 + 1); // retries of 10 % of the calls, and the one that a new budget contains
+        REQUIRE(attempts <= calls + calls / 10 + 1); // retries of 10 % of the calls, and one with which a budget starts
         fleet.advance(seconds(10));
         const RequestId late = fleet.callPlainService(0, "/open/x", std::nullopt);
         fleet.advance(milliseconds(100));
