--- a/src/dispatch/dispatch.cpp
+++ b/src/dispatch/dispatch.cpp
@@ -12,10 +12,13 @@
 constexpr Duration recheckInterval = milliseconds(100); // maximum time until the next decision when no event triggers one
 constexpr Duration shortRetry = milliseconds(250); // a few service times of a plain service
 constexpr Duration adapterRetry = milliseconds(800); // three adapter loads from the weight store
-/** Added to the expected end of a late load, a quarter of a load. Loads are late when more adapters are in transit than the leader counts. */
+/**
+ * Delay until a call is sent again to a backend server that did not have the adapter at the expected time: a quarter of a load time. Loads
+ * are late when more adapters are in transit than the leader counts.
+ */
 constexpr Duration lateLoadExtension = milliseconds(60);
-constexpr Duration lateLoadLimit = milliseconds(1000); // a copy still missing this long after its expected load is gone
-constexpr Duration longRetry = milliseconds(1000); // without a backend server, only an announcement or a restart helps
+constexpr Duration lateLoadLimit = milliseconds(1000); // a copy reported missing this long after its expected time is removed
+constexpr Duration longRetry = milliseconds(1000); // no usable backend server; capacity returns only by an announcement or a restart
 
 /** Whether @p server may receive @p call, regardless of its load and its adapters. */
 bool isUsable(const DispatchState &state, const ServerView &server, const Call &call, TimePoint now)
@@ -256,11 +259,11 @@
     if (!isKnown || view.record.born != record.born) {
         const unsigned running = isKnown ? view.running : 0;
         view = {};
-        view.running = running; // calls to the previous incarnation are still to end
+        view.running = running; // calls sent to the previous incarnation have not ended yet
     }
     view.record = record;
     if (now >= view.coldUntil) {
-        view.firstColdSend = {}; // the start times of a previous cold period have passed, so all instances would send at once
+        view.firstColdSend = {}; // drawn anew: those of the previous cold period have passed, so all instances would send at once
     }
     view.coldUntil = now + milliseconds(record.coldMilliseconds);
     if (!view.hasPlacement || record.held.empty()) {
@@ -304,7 +307,7 @@
         return;
     }
     if (call.model.empty()) {
-        // A plain service has no models, so another backend server has taken its address. Only a newer announcement restores it.
+        // A plain service has no models, so another backend server has taken its address. Only a newer announcement makes the previous one usable.
         found->second.record.state = registry::ServerState::Gone;
     } else if (call.adapter.empty()) {
         found->second.baseModels.erase(call.model);
--- a/tests/dispatch/dispatch.cpp
+++ b/tests/dispatch/dispatch.cpp
@@ -101,7 +101,7 @@
         CHECK(std::get<Wait>(decision).until == start + milliseconds(200));
         CHECK(sentTo(decide(state, modelCall("a2"), start + milliseconds(200))) == "s2");
     }
-    SECTION("not to a draining one or one in an evacuated failure domain")
+    SECTION("not if it is draining or in an evacuated failure domain")
     {
         registry::ServerRecord draining = record("s1", "chat", 64, 2);
         draining.state = registry::ServerState::Draining;
@@ -202,11 +202,11 @@
     }
 }
 
-// Guards against further calls to a backend server that is gone when another one answers at its address.
+// Guards against further calls to a backend server after another one has taken over its address and answers that it lacks the model.
 TEST_CASE("A backend server without the model of a call receives no more such calls")
 {
     DispatchState state = makeState();
-    SECTION("a plain backend server is taken as replaced until it announces itself again")
+    SECTION("a plain backend server is considered gone until it announces itself again")
     {
         const std::string first = sentTo(decide(state, plainCall(), start));
         handleMissingModel(state, first, plainCall(), start);
