--- a/src/placement/orderslots.cpp
+++ b/src/placement/orderslots.cpp
@@ -77,13 +77,13 @@
         return std::nullopt;
     }
     // Slots without a reachable holder go to the coordinator with the fewest slots, one assignment at a time.
-    const auto emptiest = std::min_element(counts.begin(), counts.end(), fewerSlots);
-    const unsigned share = std::max(orderSlotCount / static_cast<unsigned>(counts.size()), emptiest->second + 1);
-    SlotAssignment assignment{std::string(emptiest->first), {}};
+    const auto fewestSlots = std::min_element(counts.begin(), counts.end(), fewerSlots);
+    const unsigned share = std::max(orderSlotCount / static_cast<unsigned>(counts.size()), fewestSlots->second + 1);
+    SlotAssignment assignment{std::string(fewestSlots->first), {}};
     for (unsigned number = 0; number < slots.slots.size(); ++number) {
         const OrderSlot &slot = slots.slots[number];
         const bool isFree = slot.holder.empty() || (!canSendOrders(slots, number, now) && now >= earliestReassignment(slots, slot));
-        if (isFree && emptiest->second + assignment.slots.size() < share) {
+        if (isFree && fewestSlots->second + assignment.slots.size() < share) {
             assignment.slots.push_back(number);
         }
     }
@@ -91,13 +91,13 @@
         return assignment;
     }
     // A returning coordinator gets one slot at a time, each suspended for the lease of its previous holder.
-    const auto fullest = std::max_element(counts.begin(), counts.end(), fewerSlots);
+    const auto mostSlots = std::max_element(counts.begin(), counts.end(), fewerSlots);
     const bool anySuspended = std::any_of(slots.slots.begin(), slots.slots.end(), [](const OrderSlot &slot) {
         return slot.suspendedSince != TimePoint{};
     });
-    if (!anySuspended && fullest->second > emptiest->second + 1) {
-        const auto slot = std::find_if(slots.slots.begin(), slots.slots.end(), [&fullest](const OrderSlot &entry) {
-            return entry.holder == fullest->first;
+    if (!anySuspended && mostSlots->second > fewestSlots->second + 1) {
+        const auto slot = std::find_if(slots.slots.begin(), slots.slots.end(), [&mostSlots](const OrderSlot &entry) {
+            return entry.holder == mostSlots->first;
         });
         slot->suspendedSince = now;
     }
--- a/src/placement/planorders.cpp
+++ b/src/placement/planorders.cpp
@@ -162,9 +162,9 @@
         }
         // The hash makes an adapter return to the same engine, which has it in host memory.
         const std::string name = key.model + "/" + key.adapter + "@" + id;
-        const double affinity = static_cast<double>(XXH3_64bits(name.data(), name.size()) % 1024) / 1024;
+        const double affinityCost = static_cast<double>(XXH3_64bits(name.data(), name.size()) % 1024) / 1024;
         const double unansweredPenalty = now < engine.penalizedUntil ? unansweredPenaltyCost : 0;
-        return engine.expectedCalls / state.options.callRatePerCopy + (isCached ? 0 : 2) + (isFree ? 0 : 0.3) + affinity + unansweredPenalty;
+        return engine.expectedCalls / state.options.callRatePerCopy + (isCached ? 0 : 2) + (isFree ? 0 : 0.3) + affinityCost + unansweredPenalty;
     }
 
     /** Orders a load of @p key on the engine with the lowest cost, or an unload to make room. Returns false if no engine can take it. */
--- a/tests/placement/orderslots.cpp
+++ b/tests/placement/orderslots.cpp
@@ -40,14 +40,14 @@
         }
     }
 
-    [[nodiscard]] unsigned share(std::string_view name) const
+    [[nodiscard]] unsigned slotsHeldBy(std::string_view name) const
     {
         return static_cast<unsigned>(std::count_if(slots.slots.begin(), slots.slots.end(), [name](const OrderSlot &slot) {
             return slot.holder == name;
         }));
     }
 
-    [[nodiscard]] unsigned usable() const
+    [[nodiscard]] unsigned usableSlots() const
     {
         unsigned count = 0;
         for (unsigned slot = 0; slot < orderSlotCount; ++slot) {
@@ -73,15 +73,15 @@
     holders.receiveCredits({"core-1", "core-2", "core-3"});
     holders.assign();
     for (const char *name : {"core-1", "core-2", "core-3"}) {
-        CHECK(holders.share(name) >= 5);
+        CHECK(holders.slotsHeldBy(name) >= 5);
     }
-    REQUIRE(holders.usable() == orderSlotCount);
+    REQUIRE(holders.usableSlots() == orderSlotCount);
 
     holders.now += seconds(10);
     holders.startTerm(); // core-1 was the leader and has failed
     holders.receiveCredits({"core-2", "core-3"});
-    const unsigned lost = holders.share("core-1");
-    CHECK(holders.usable() == orderSlotCount - lost);
+    const unsigned lost = holders.slotsHeldBy("core-1");
+    CHECK(holders.usableSlots() == orderSlotCount - lost);
 
     SECTION("slots of the failed holder get no orders and no new holder until its lease has expired and no order can be in transit")
     {
@@ -91,22 +91,22 @@
             holders.now += milliseconds(100);
             holders.receiveCredits({"core-2", "core-3"});
             holders.assign();
-            REQUIRE(holders.share("core-1") == lost);
-            REQUIRE(holders.usable() == orderSlotCount - lost);
+            REQUIRE(holders.slotsHeldBy("core-1") == lost);
+            REQUIRE(holders.usableSlots() == orderSlotCount - lost);
         }
         holders.now = end;
         holders.receiveCredits({"core-2", "core-3"});
         holders.assign();
-        CHECK(holders.share("core-1") == 0);
-        CHECK(holders.usable() == orderSlotCount);
+        CHECK(holders.slotsHeldBy("core-1") == 0);
+        CHECK(holders.usableSlots() == orderSlotCount);
     }
     SECTION("a holder that returns before that keeps its slots")
     {
         holders.now += seconds(2);
         holders.receiveCredits({"core-1", "core-2", "core-3"});
         holders.assign();
-        CHECK(holders.share("core-1") == lost);
-        CHECK(holders.usable() == orderSlotCount);
+        CHECK(holders.slotsHeldBy("core-1") == lost);
+        CHECK(holders.usableSlots() == orderSlotCount);
     }
 }
 
--- a/tests/placement/placement.cpp
+++ b/tests/placement/placement.cpp
@@ -377,8 +377,8 @@
         fleet.demand("a" + std::to_string(random() % 40), static_cast<unsigned>(random() % 3), static_cast<unsigned>(random() % 2));
         fleet.readReports();
         for (const ModelOrder &order : planOrders(fleet.state, fleet.catalog, fleet.now)) {
-            const bool isExecuted = order.expectedSequence == fleet.sequences[order.server];
-            if (isExecuted && random() % 10 != 0) {
+            const bool hasExpectedSequence = order.expectedSequence == fleet.sequences[order.server];
+            if (hasExpectedSequence && random() % 10 != 0) {
                 ++fleet.sequences[order.server];
                 auto &held = fleet.held[order.server];
                 if (order.kind == OrderKind::Load) {
@@ -389,7 +389,7 @@
                 REQUIRE(held.size() <= adapterSlots);
             }
             OrderOutcome outcome = order.kind == OrderKind::Load ? OrderOutcome::Accepted : OrderOutcome::AlreadyDone;
-            if (!isExecuted) {
+            if (!hasExpectedSequence) {
                 outcome = OrderOutcome::Conflict;
             } else if (fleet.sequences[order.server] == order.expectedSequence || random() % 10 == 0) {
                 outcome = OrderOutcome::Unknown;
