--- a/src/placement/orderslots.cpp
+++ b/src/placement/orderslots.cpp
@@ -90,7 +90,7 @@
     if (!assignment.slots.empty()) {
         return assignment;
     }
-    // A returning coordinator gets one slot at a time, each suspended for the lease of its previous holder.
+    // Balances the slots after a coordinator has returned, one at a time. Each is suspended first, until the lease of its holder has expired.
     const auto mostSlots = std::max_element(counts.begin(), counts.end(), fewerSlots);
     const bool anySuspended = std::any_of(slots.slots.begin(), slots.slots.end(), [](const OrderSlot &slot) {
         return slot.suspendedSince != TimePoint{};
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -26,7 +26,10 @@
     engine.pausedUntil = now;
 }
 
-/** Another incarnation answers at the address, although the end of this one was not announced. The new one will be announced. */
+/**
+ * Marks an engine at whose address another incarnation answers although the end of the known one was not announced. It gets no orders
+ * until the new incarnation is announced.
+ */
 void markReplaced(EngineState &engine)
 {
     engine.isReplaced = true;
--- a/src/placement/planorders.cpp
+++ b/src/placement/planorders.cpp
@@ -15,7 +15,10 @@
 
 /** Window over which base model loads are counted against the rate of the weight store. */
 constexpr Duration storeWindow = seconds(5);
-/** Added after an order without a reply. Exceeds all other parts of the cost, so that the engine gets orders only when no other can. */
+/**
+ * Added to the cost of an engine after an order without a reply. Exceeds all other parts of the cost, so that the engine gets orders only
+ * when no other can.
+ */
 constexpr double unansweredPenaltyCost = 20;
 
 bool hasUnresolvedOrder(const EngineState &engine, const AdapterKey &key)
@@ -65,7 +68,7 @@
     {
         unsigned count = 0;
         for (const auto &[entry, report] : demand.waiting) {
-            // After the time of a load, the count of calls that can still meet their objective is outdated.
+            // A report older than a load no longer tells how many calls can still meet their objective.
             count += now - report.reported <= state.options.adapterLoadTime ? report.inTime : 0;
         }
         return count;
@@ -160,7 +163,7 @@
         if (!isFree && !evictionCandidate(engine, minimumIdle)) {
             return std::nullopt;
         }
-        // The hash makes an adapter return to the same engine, which has it in host memory.
+        // The hash prefers the same engine for every load of an adapter, since that engine has it in host memory.
         const std::string name = key.model + "/" + key.adapter + "@" + id;
         const double affinityCost = static_cast<double>(XXH3_64bits(name.data(), name.size()) % 1024) / 1024;
         const double unansweredPenalty = now < engine.penalizedUntil ? unansweredPenaltyCost : 0;
@@ -177,7 +180,7 @@
                 continue;
             }
             if (const auto copy = engine.adapters.find(key); copy != engine.adapters.end()) {
-                // A new version waits for the calls on the previous one, so another engine loads it sooner.
+                // An engine that serves the previous version loads a new one only after the calls on it have ended, so another engine is faster.
                 const bool isOutdated = copy->second.version < requiredVersion(state, key);
                 if (!isOutdated || copy->second.isUnloading || now - copy->second.lastUse < state.options.minimumIdle) {
                     continue;
--- a/tests/placement/orderslots.cpp
+++ b/tests/placement/orderslots.cpp
@@ -110,7 +110,7 @@
     }
 }
 
-// Guards against two coordinators that send orders to one engine within a lease, and against fencing numbers that do not increase.
+// Guards against two coordinators that send orders to the same engine within one lease, and against fencing numbers that do not increase.
 TEST_CASE("Under random failures, a slot is reassigned only after the lease of its previous holder")
 {
     const auto seed = GENERATE(range(1U, 21U));
--- a/tests/placement/placement.cpp
+++ b/tests/placement/placement.cpp
@@ -152,7 +152,7 @@
     for (int i = 0; i < 8; ++i) {
         recordDemand(fleet.state, "entry-1", {"base", "early" + std::to_string(i)}, "chat", {1, 1, 0, 0}, fleet.now);
     }
-    // 8 adapters serve calls in time and use all 8 transfers, so that a new one is loaded in the second round.
+    // The 8 adapters whose calls can be on time use all 8 transfers, so a further adapter is loaded only in the second round.
     CHECK(expectedLoadTime(fleet.state, fleet.now) == 2 * fleet.state.options.adapterLoadTime);
     fleet.executeOrders();
     for (int i = 0; i < 8; ++i) {
@@ -221,7 +221,7 @@
         fleet.demand("a2", 1);
         const auto next = planOrders(fleet.state, fleet.catalog, fleet.now);
         REQUIRE(next.size() == 1);
-        CHECK(next[0].expectedSequence == 0); // once this order is accepted, the late one is refused
+        CHECK(next[0].expectedSequence == 0); // once this order is accepted, the one without a reply is refused if it arrives late
     }
 }
 
@@ -289,9 +289,9 @@
     CHECK(std::find(due.begin(), due.end(), holder) == due.end());
 }
 
-// Guards against unloading an adapter with running streams but no new calls. In scenario scale-1, an engine was ordered to unload an adapter
-// in use six times in two seconds and refused every load after it.
-TEST_CASE("An adapter in use keeps its place")
+// Guards against unloading an adapter with running streams but no new calls. In scenario scale-1, an engine got six unload
+// orders in two seconds for an adapter in use, and refused every load afterwards.
+TEST_CASE("An adapter with running calls is not evicted")
 {
     Fleet fleet(1);
     for (unsigned i = 1; i <= adapterSlots; ++i) {
