--- a/src/scheduling/eviction.cpp
+++ b/src/scheduling/eviction.cpp
@@ -49,9 +49,9 @@
 double usefulness(const PoolState &state, const ServerState &server, const AdapterSlot &slot) noexcept
 {
     const AdapterState &adapter = state.adapters[number(slot.adapter)];
-    const double each = adapter.popularity / static_cast<double>(std::max<std::size_t>(1, adapter.holders.size()));
-    const double share = hasLongQueue(state, adapter.lastOrganisation) ? longQueueFactor * each : each;
-    return isSpareReplica(state, server, slot.adapter) ? spareReplicaFactor * share : share;
+    const double perReplica = adapter.popularity / static_cast<double>(std::max<std::size_t>(1, adapter.holders.size()));
+    const double weighted = hasLongQueue(state, adapter.lastOrganisation) ? longQueueFactor * perReplica : perReplica;
+    return isSpareReplica(state, server, slot.adapter) ? spareReplicaFactor * weighted : weighted;
 }
 
 struct Victim
@@ -94,7 +94,7 @@
 {
     const std::uint16_t failed = state.adapters[number(adapter)].failedServer;
     LoadTarget best;
-    bool bestFailed = true;
+    bool bestLoadFailed = true;
     bool bestFree = false;
     double bestCost = std::numeric_limits<double>::infinity();
     for (std::uint32_t i = 0; i < state.servers.size(); ++i) {
@@ -107,14 +107,15 @@
         if (!isFree && (victim.position == LoadTarget::freeSlot || victim.usefulness >= evictionThreshold)) {
             continue;
         }
-        const bool isFailed = i == failed;
+        const bool loadFailed = i == failed;
         const bool full = usedSlots(server) >= server.slowStart.limit;
+        // On a full server the waiting request cannot start at once after the load, so the eviction there costs more.
         const double cost = isFree ? serverCost(server) : victim.usefulness * (full ? 4 : 1);
         // Order of preference: not the server of the last failed load, then a free adapter slot, then the lowest cost.
-        const bool better = best.server == noIndex || (isFailed != bestFailed ? bestFailed : (isFree != bestFree ? isFree : cost < bestCost));
+        const bool better = best.server == noIndex || (loadFailed != bestLoadFailed ? bestLoadFailed : (isFree != bestFree ? isFree : cost < bestCost));
         if (better) {
             best = {i, victim.position};
-            bestFailed = isFailed;
+            bestLoadFailed = loadFailed;
             bestFree = isFree;
             bestCost = cost;
         }
--- a/src/scheduling/requests.cpp
+++ b/src/scheduling/requests.cpp
@@ -54,8 +54,8 @@
     const double held = toSeconds(now - record.grantedAt);
     state.averageServiceSeconds += serviceTimeWeight * (held - state.averageServiceSeconds);
     const double measured = held / std::max(1U, record.request.maximumOutputTokens);
-    double &least = state.minimumSecondsPerToken;
-    least += (least == 0 ? 1 : (measured < least ? fallWeight : riseWeight)) * (measured - least);
+    double &estimate = state.minimumSecondsPerToken;
+    estimate += (estimate == 0 ? 1 : (measured < estimate ? fallWeight : riseWeight)) * (measured - estimate);
 }
 
 void applyReleaseOutcome(PoolState &state, const RequestRecord &record, const Release &release, TimePoint now) noexcept
--- a/src/serving/calls.cpp
+++ b/src/serving/calls.cpp
@@ -311,14 +311,14 @@
 void tickCalls(ServingState &state, TimePoint now, Actions &actions)
 {
     std::vector<RequestId> expired;
-    std::vector<RequestId> searching;
+    std::vector<RequestId> withoutPool;
     std::vector<RequestId> recordRetries;
     for (const auto &[id, call] : state.calls) {
         const Duration grace = call.stage == CallStage::Running || call.abandoned ? resultGracePeriod : Duration::zero();
         if (now >= call.deadline + grace) {
             expired.push_back(id);
         } else if (call.stage == CallStage::AwaitingGrant && call.pool == PoolId{}) {
-            searching.push_back(id);
+            withoutPool.push_back(id);
         } else if (call.stage == CallStage::Recording && call.nextRecordAttempt != TimePoint{} && now >= call.nextRecordAttempt) {
             recordRetries.push_back(id);
         }
@@ -350,7 +350,7 @@
             refuseCall(state, id, RefusalReason::DeadlineExceeded, outcome, {}, now, actions);
         }
     }
-    for (const RequestId &id : searching) {
+    for (const RequestId &id : withoutPool) {
         const auto found = state.calls.find(id);
         if (found == state.calls.end()) {
             continue;
