--- a/src/ingress/callerrequest.cpp
+++ b/src/ingress/callerrequest.cpp
@@ -30,7 +30,7 @@
     return error == std::errc() && rest == text.data() + text.size() ? std::optional(value) : std::nullopt;
 }
 
-/** Prompt and output counts, separated by a comma. */
+/** Parses "prompt,output" and returns the sum. The output count is optional. */
 std::optional<double> parseTokenCounts(std::string_view text)
 {
     const std::size_t comma = text.find(',');
@@ -47,7 +47,7 @@
     return !name.empty() && beast::iequals(name, candidate);
 }
 
-/** Headers that the system sets itself, or keeps to itself, whatever the caller sent. */
+/** Whether callers may not set the header: the system sets it itself or does not forward it. */
 bool isReservedHeader(std::string_view name, const HeaderNames &names)
 {
     if (beast::iequals(name, "Authorization") || beast::iequals(name, "Content-Length") || matchesHeader(names.deadline, name)
@@ -76,7 +76,7 @@
         return "more than one Authorization header";
     }
     if (request.count(http::field::transfer_encoding) > 0) {
-        // Any other value is taken for a request without a body, and the body for the next request.
+        // The parser treats a request with any other value as one without a body, and would parse the body as the next request.
         if (request.count(http::field::transfer_encoding) > 1 || !beast::iequals(request[http::field::transfer_encoding], "chunked")) {
             return "the transfer encoding is not supported";
         }
--- a/src/ingress/callersession.cpp
+++ b/src/ingress/callersession.cpp
@@ -30,7 +30,7 @@
     return entry.catalog() ? entry.catalog()->catalog().limits : catalog::CallerLimits{};
 }
 
-/** Answer to a request that could not be read; nothing when the caller has just closed the connection. */
+/** Returns the response to a request that could not be read, or nothing if the connection was closed or timed out. */
 std::optional<LocalResponse> responseForReadError(const boost::system::error_code &error)
 {
     if (error == http::error::header_limit || error == http::error::buffer_overflow) {
@@ -46,7 +46,7 @@
     return LocalResponse{RefusalReason::InvalidRequest, "the request is not valid HTTP", std::nullopt, std::nullopt};
 }
 
-/** Reads one request. Nothing when the connection is over; a request that cannot be read has been answered then. */
+/** Reads one request. Returns nothing when no further request can be read; an invalid request has then already got its error response. */
 asio::awaitable<std::optional<CallerRequest>> readRequest(CallerConnection &caller)
 {
     const catalog::CallerLimits limits = limitsOf(caller.entry);
@@ -69,7 +69,7 @@
         caller.keepAlive = false;
         const bool isWritten = co_await writeLocalResponse(caller, {}, *response);
         if (!isWritten) {
-            observability::logInfo("the caller left before the answer to its invalid request");
+            observability::logInfo("caller disconnected before the error response to its invalid request was sent");
         }
     }
     co_return std::nullopt;
@@ -109,13 +109,13 @@
     socket.set_option(asio::ip::tcp::no_delay(true), error);
     socket.non_blocking(true, error);
     if (error) {
-        co_return; // the caller has closed the connection already
+        co_return; // the caller has already closed the connection
     }
     entry.sessionOpened();
     {
         CallerConnection caller(entry, std::move(socket));
         co_await serveRequests(caller);
-        boost::system::error_code ignored; // the caller may have closed the connection already
+        boost::system::error_code ignored; // the caller may have already closed the connection
         caller.stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     }
     entry.sessionClosed();
--- a/src/ingress/callrelay.cpp
+++ b/src/ingress/callrelay.cpp
@@ -24,20 +24,20 @@
 
 using Clock = std::chrono::steady_clock;
 
-/** Attempts that reach no backend server are bounded too. */
+/** Limits attempts that reach no backend server too; those do not count towards the attempt limit of the route. */
 constexpr unsigned maximumDispatchRounds = 6;
 constexpr Duration staleRetryAfter = milliseconds(500); // an election takes less than a second
-constexpr Duration rateRetryAfter = milliseconds(1000); // a bucket holds about one second of its rate
+constexpr Duration rateRetryAfter = milliseconds(1000); // the token bucket holds about one second of its rate
 constexpr Duration notRunRetryAfter = milliseconds(300);
 
 enum class AttemptEnd : std::uint8_t {
-    Answered, /**< The caller has the whole answer. */
+    Answered, /**< The caller received the complete response. */
     CallerLeft,
     Unreachable, /**< No byte was sent. */
-    NotRun, /**< The backend server says so. */
-    Missing, /**< The same, because it does not hold the adapter or is another one. */
-    Failed, /**< The call may have run, and the caller has nothing of it yet, or only whole events. */
-    Cut, /**< The caller has a part that cannot be continued. */
+    NotRun, /**< The backend server stated that it did not execute the call. */
+    Missing, /**< Not executed, since the backend server does not hold the adapter or is not the expected one. */
+    Failed, /**< The call may have been executed; the caller received nothing yet, or only complete events. */
+    Cut, /**< The caller received part of a response that cannot be resumed. */
     TimedOut,
 };
 
@@ -48,7 +48,7 @@
 
 constexpr std::array<std::string_view, 8> endNames{"answered", "caller-left", "unreachable", "not-run", "missing", "failed", "cut", "timed-out"};
 
-/** One call of a caller while it is served. */
+/** State of one call from admission to the end of the response. */
 class Relay
 {
 public:
@@ -81,7 +81,7 @@
     const CallerRequest &m_request;
     CallHead m_head;
     TimePoint m_arrived;
-    std::shared_ptr<const catalog::CatalogIndex> m_catalog; // keeps m_route and m_organisation alive
+    std::shared_ptr<const catalog::CatalogIndex> m_catalog; // owns what m_route and m_organisation point to
     const catalog::CallRoute *m_route = nullptr;
     const catalog::OrganisationSpec *m_organisation = nullptr;
     dispatch::Call m_call;
@@ -89,10 +89,10 @@
     double m_tokens = 0; // charged to the organisation
     unsigned m_sends = 0;
     bool m_mayHaveRun = false;
-    bool m_headSent = false; // the caller has the head of a stream
-    unsigned m_status = 0; // of the newest answer of a backend server
+    bool m_headSent = false; // the response head was sent to the caller; no other response is possible
+    unsigned m_status = 0; // of the newest response of a backend server
     EventRelay m_events;
-    std::string m_heldResponse; // failure of a backend server, passed on when no other one gives a better answer
+    std::string m_heldResponse; // error response of a backend server, forwarded if no other backend server gives a better one
 };
 
 bool Relay::isRepeatable() const
@@ -132,7 +132,7 @@
 asio::awaitable<bool> Relay::refuse(LocalResponse response)
 {
     if (response.retryAfter) {
-        // Callers that were refused together must not come back together.
+        // Randomises the delay so that callers refused at the same time do not retry at the same time.
         const double spread = std::uniform_real_distribution<double>(0.7, 1.3)(m_entry.dispatchState().random);
         response.retryAfter = fromSeconds(toSeconds(*response.retryAfter) * spread);
     }
@@ -173,7 +173,7 @@
     }
     m_catalog = m_entry.catalog();
     if (!hasState) {
-        // Keys may have been withdrawn, and routes added, since the leader confirmed the state.
+        // Keys may have been withdrawn, or routes added, since the leader last confirmed the state.
         const LocalResponse response{RefusalReason::ConfigurationStale, "no confirmed configuration", staleRetryAfter, std::nullopt};
         co_return co_await refuse(response);
     }
@@ -281,7 +281,7 @@
         if (last == AttemptEnd::Missing) {
             m_entry.handleMissingModel(target.server, m_call);
             if (m_sentTo.size() >= m_route->maximumAttempts) {
-                m_call.pinnedServer = target.server; // its load may end a little later than expected
+                m_call.pinnedServer = target.server; // the load of the adapter may finish slightly later than expected
             }
         } else {
             m_call.triedServers.insert(target.server);
@@ -298,8 +298,8 @@
         }
         m_entry.metrics().attemptRetried();
         if (last == AttemptEnd::Failed) {
-            // Load pattern: a backend server is lost with the only copy of an adapter. Its streams wait for another copy as long as
-            // a new call would; measured from their arrival they would be given up at once.
+            // Load pattern: a backend server with the only copy of an adapter fails. Its streams may wait for another copy as long as
+            // new calls do; if the wait were measured from their original arrival, they would be refused at once.
             m_call.arrived = Clock::now();
             m_call.objectiveEnd = m_call.arrived + m_route->objective;
         }
@@ -307,7 +307,7 @@
     if (m_headSent) {
         m_entry.metrics().callEnded(observability::CallEnd::Failed, Clock::now() - m_arrived);
         logEnd("cut", m_status, endNames.at(static_cast<std::size_t>(last)));
-        m_caller.stream.close(); // without the end of the body, so that the answer does not look complete
+        m_caller.stream.close(); // without the final chunk, so that the caller detects the truncated response
         co_return false;
     }
     if (!m_heldResponse.empty()) {
@@ -420,7 +420,7 @@
         exchange.finish();
         co_return notRun;
     }
-    // Only an answer that states it was not run may bear one of these; any answer without a signature is not of a backend server.
+    // These statuses are valid only with the not-run header. A response without a signature was not generated by a backend server.
     const bool isNotRunStatus = m_status == 408 || m_status == 429 || m_status == 503;
     if (isNotRunStatus || exchange.header(names.responseSignature).empty()) {
         co_return AttemptEnd::Failed;
@@ -455,7 +455,7 @@
     return head;
 }
 
-/** Passes an answer on once it is complete, or piece by piece when it is large. */
+/** Forwards a response once it is complete, or in chunks if it exceeds the buffer limit. */
 asio::awaitable<AttemptEnd> Relay::relayBody(ServerExchange &exchange)
 {
     std::string body;
@@ -527,7 +527,7 @@
         const bool isEnd = bytes.empty();
         relayEvents(m_events, bytes, whole);
         if (isEnd && !m_events.partial.empty()) {
-            // The end is complete, but its last event is not: the backend server broke off.
+            // The body was terminated correctly, but the last event is incomplete: the backend server stopped in the middle of it.
             co_return cutOrFailed();
         }
         if (!m_headSent && (!whole.empty() || isEnd)) {
--- a/src/ingress/entry.cpp
+++ b/src/ingress/entry.cpp
@@ -81,7 +81,7 @@
             co_return;
         }
         if (error) {
-            observability::logWarning("listener of callers: " + error.message());
+            observability::logWarning("accepting a client connection failed: " + error.message());
             continue;
         }
         asio::co_spawn(m_context, serveCaller(*this, std::move(socket)), asio::detached);
@@ -96,7 +96,7 @@
     m_stopTimer.expires_after(m_settings.drainTimeout);
     m_stopTimer.async_wait([this](boost::system::error_code error) {
         if (!error && m_stopped) {
-            observability::logWarning("drain time is over with " + std::to_string(m_sessions) + " connections open");
+            observability::logWarning("drain timeout expired with " + std::to_string(m_sessions) + " connections open");
             std::exchange(m_stopped, nullptr)();
         }
     });
--- a/src/ingress/entrycalls.cpp
+++ b/src/ingress/entrycalls.cpp
@@ -130,7 +130,7 @@
 void Entry::callEnded(const std::string &server, const dispatch::Call &call, dispatch::CallResult result)
 {
     if (const auto running = m_running.find({call.model, call.adapter}); running != m_running.end()) {
-        // The leader hears of it with the next report.
+        // Creates the entry, so that the next report tells the leader that the call has ended.
         demandOf(call.model, call.adapter, call.service);
         if (--running->second.calls == 0) {
             m_running.erase(running);
@@ -159,7 +159,7 @@
     });
 }
 
-/** Decides anew on all waiting calls, the most urgent first. */
+/** Repeats the dispatch decision for all waiting calls, most urgent first. */
 void Entry::dispatchWaitingCalls()
 {
     const TimePoint now = Clock::now();
--- a/src/ingress/entrylinks.cpp
+++ b/src/ingress/entrylinks.cpp
@@ -65,7 +65,7 @@
     }
     if (!state.catalogText) {
         if (state.catalogVersion != m_state.catalogVersion) {
-            observability::logError("state without its catalog: version " + std::to_string(state.catalogVersion));
+            observability::logError("fleet state lacks the text of its catalog, version " + std::to_string(state.catalogVersion));
             return;
         }
         state.catalogText = m_state.catalogText;
@@ -77,10 +77,10 @@
         if (auto *catalog = std::get_if<catalog::Catalog>(&decoded)) {
             m_dispatch.catalog = std::make_shared<const catalog::CatalogIndex>(std::make_shared<const catalog::Catalog>(std::move(*catalog)));
         } else {
-            observability::logError("the catalog of the leader cannot be read: " + std::get<catalog::CatalogProblem>(decoded).message);
+            observability::logError("catalog from the leader is invalid: " + std::get<catalog::CatalogProblem>(decoded).message);
         }
     }
-    m_state.catalogText.reset(); // the index holds what is needed
+    m_state.catalogText.reset(); // only the decoded index is needed from here on
     m_dispatch.evacuatedDomains = m_state.evacuatedDomains;
     m_dispatch.requiredVersions = m_state.adapterVersions;
     observability::DecisionLine line("state");
@@ -120,7 +120,7 @@
             waiter->granted = true;
             waiter->timer.cancel();
         } else if (waiter->replies >= 2) {
-            // The first reply may answer a report from before the wait.
+            // The first reply may belong to a report that was sent before the wait began.
             waiter->granted = false;
             waiter->timer.cancel();
         }
@@ -128,7 +128,7 @@
     postDispatchWaitingCalls();
 }
 
-/** All instances together keep at most half of the connections that a backend server accepts; the rest is for calls that open new ones. */
+/** Limits the idle connections of all instances together to half of those that a backend server accepts; the rest is left for new connections. */
 void Entry::limitIdleConnections()
 {
     if (!m_dispatch.catalog) {
@@ -166,7 +166,7 @@
     return demand;
 }
 
-/** Load pattern: refused callers return after the time they were told; without this they would start the same wait again. */
+/** Load pattern: refused callers retry after their Retry-After. Unless the adapter is loaded in the meantime, they would have to wait again. */
 void Entry::addExpectedRetries(TimePoint now)
 {
     std::erase_if(m_expectedRetries, [now](const auto &item) {
@@ -178,7 +178,7 @@
     }
 }
 
-/** Tells a new leader what was spent, so that its window starts where the earlier one ended. */
+/** Reports the spent tokens to a new leader, so that its quota window continues that of its predecessor. */
 void Entry::addHistory(fleetlink::EntryReport &report, TimePoint now) const
 {
     report.hasHistory = true;
@@ -199,7 +199,7 @@
         fleetlink::EntryReport report;
         report.stamp = static_cast<std::uint64_t>(fleetlink::bootMilliseconds());
         for (auto &[organisation, quota] : m_quotaCache.quotas) {
-            // A leader that does not know of a grant must not take it back.
+            // A leader that still needs the history does not know of the grant, so the grant must not be returned to it.
             if (const double expired = allowance::takeExpired(m_quotaCache, quota, now); expired > 0 && !m_sendsHistory) {
                 report.returned.push_back({organisation, expired});
             }
@@ -238,7 +238,7 @@
             const auto running = m_running.find(demand->first);
             demand->second.running = running == m_running.end() ? 0 : running->second.calls;
             report.demand.push_back(demand->second);
-            // One more report tells the leader that the wait is over.
+            // Adapters with waiting calls stay, so that one more report tells the leader when no call waits any more.
             if (demand->second.waiting == 0) {
                 demand = m_demand.erase(demand);
             } else {
--- a/src/ingress/entrysettings.h
+++ b/src/ingress/entrysettings.h
@@ -23,18 +23,18 @@
     Duration idleReportInterval = milliseconds(500); /**< While no calls run or wait. */
     Duration urgentReportDelay = milliseconds(3); /**< Batches adapters that calls start to wait for at the same time into one report. */
     Duration adapterLoadTime = milliseconds(280); /**< From a report until an adapter loaded from the store is usable. */
-    Duration retryMargin = milliseconds(700); /**< A refused call is expected back up to this long after its Retry-After, which is randomised by ±30%. */
-    Duration tokenTimeout =
-        milliseconds(400); /**< Limit of the wait for granted tokens; covers several round trips to the leader and the start of a new leader. */
+    Duration retryMargin = milliseconds(700); /**< A refused call is expected back up to this long after its Retry-After, which is randomised by 30%. */
+    Duration tokenTimeout = milliseconds(400); /**< Limit of the wait for granted tokens: several round trips to the leader and the start of a new one. */
     Duration stateTimeout = milliseconds(350); /**< Limit of the wait for a confirmed state; shorter than the shortest latency objective of a model call. */
     double retryRatio = 0.15; /**< Retries per request. Below the platform's budget by as much as the counts of other instances may lag. */
     double retryReserve = 30; /**< Retries of the whole fleet allowed in addition to the ratio. */
-    Duration lossTimeout =
-        milliseconds(1200); /**< A backend server that acknowledges no data for this long counts as lost; long enough to survive one lost packet. */
+    Duration lossTimeout = milliseconds(1200); /**< A backend server that acknowledges no data for this long is lost; tolerates one lost packet. */
     Duration connectTimeout = milliseconds(500);
     Duration drainTimeout = milliseconds(7700); /**< From the stop signal until remaining calls are aborted; below the platform's grace period. */
-    /** How long new calls are accepted after the stop signal: the load balancer probes once per second and needs two failed probes. Calls accepted later could
-     * not finish in time. */
+    /**
+     * How long new calls are accepted after the stop signal: the load balancer probes once per second and needs two failed probes.
+     * Calls accepted later could not finish in time.
+     */
     Duration lameDuck = milliseconds(2800);
     std::size_t bufferedResponseBytes = 65'536; /**< Larger responses are forwarded before they are complete. */
     dispatch::DispatchOptions dispatch;
--- a/src/ingress/eventrelay.cpp
+++ b/src/ingress/eventrelay.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Length of the first event in @p text with the blank line behind it; 0 when it is not complete. */
+/** Length of the first event in @p text including the blank line that terminates it; 0 if it is incomplete. */
 std::size_t eventLength(std::string_view text)
 {
     std::size_t lineStart = 0;
--- a/src/ingress/responsewriter.cpp
+++ b/src/ingress/responsewriter.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** A caller that takes nothing for so long is given up. */
+/** A caller that has not accepted a response or chunk after this time is disconnected. */
 constexpr seconds writeTimeout{10};
 
 std::string secondsText(Duration duration)
--- a/src/ingress/serverexchange.cpp
+++ b/src/ingress/serverexchange.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr std::size_t readBytes = 8192; // an event is some hundred bytes
+constexpr std::size_t readBytes = 8192; // an event has a few hundred bytes
 constexpr std::size_t headBytes = 16'384;
-// Answers to earlier calls that may lie before the one that is due; more of them mean that the connection is out of step.
+// Responses to earlier calls on the same connection that are skipped; after more than these the connection is considered out of sync.
 constexpr unsigned maximumStaleResponses = 2;
 constexpr auto completionToken = asio::as_tuple(asio::use_awaitable);
 
@@ -28,7 +28,7 @@
     return error == beast::error::timeout ? ExchangeError::TimedOut : ExchangeError::Broken;
 }
 
-/** Seconds for which the backend server keeps an idle connection; nothing when it does not say. */
+/** Idle timeout from the value of a Keep-Alive header, which gives it in seconds; nothing if it is not stated. */
 std::optional<Duration> idleLimit(std::string_view keepAlive)
 {
     constexpr std::string_view key = "timeout=";
@@ -46,7 +46,7 @@
 
 } // namespace
 
-/** The request while it is being sent; an early answer may arrive before its end. */
+/** Request being sent. Shared with the write operation, since the exchange may end first after an early response. */
 struct ServerExchange::OutgoingRequest
 {
     std::string head;
@@ -151,7 +151,8 @@
     const bool isKept = m_parser->keep_alive() && m_outgoingRequest->isDone && !m_aborted;
     if (isKept) {
         if (const auto limit = idleLimit(header("Keep-Alive"))) {
-            // The backend server counts from its own last byte; a call that crosses its close would be lost.
+            // The backend server's idle period starts with its last byte, and a call sent while it closes the connection would be lost.
+            // The connection is therefore reused for 3/4 of the period only.
             m_connection->idleLimit = *limit * 3 / 4;
         }
         m_entry.upstream().release(m_address, std::move(m_connection));
--- a/tests/ingress/ingress.cpp
+++ b/tests/ingress/ingress.cpp
@@ -43,20 +43,20 @@
 
 } // namespace
 
-// Guards against requests whose end is in doubt: what follows could be taken for another caller's request.
-TEST_CASE("A request with doubtful framing is refused")
+// Guards against request smuggling: if the end of a request is ambiguous, part of its body could be parsed as another request.
+TEST_CASE("A request with invalid or ambiguous framing is refused")
 {
     CallerRequest request = makeRequest();
     REQUIRE(findFramingError(request).empty());
 
-    SECTION("no host, or two")
+    SECTION("no Host header, or two")
     {
         request.insert(http::field::host, "two.example");
         CHECK_FALSE(findFramingError(request).empty());
         request.erase(http::field::host);
         CHECK_FALSE(findFramingError(request).empty());
     }
-    SECTION("two keys")
+    SECTION("two Authorization headers")
     {
         request.insert(http::field::authorization, "Bearer key-2");
         CHECK_FALSE(findFramingError(request).empty());
@@ -78,8 +78,8 @@
     }
 }
 
-// Guards against calls that run with headers of the caller that only the system may set, or with its key.
-TEST_CASE("The forwarded head has the caller's headers but for those of the system")
+// Guards against forwarding headers that only the system may set, or the caller's API key, to a backend server.
+TEST_CASE("The forwarded head contains the caller's headers except reserved and hop-by-hop ones")
 {
     CallerRequest request = makeRequest();
     request.set("Organisation", "forged");
@@ -108,7 +108,8 @@
     CHECK(head.find("Urgency") == std::string::npos);
 }
 
-TEST_CASE("The head of a call is decoded once")
+// Guards against a wrong host, path, key, model or token count, which would misroute or mischarge the call.
+TEST_CASE("Call parameters are parsed from the request head")
 {
     const CallHead head = parseCallHead(makeRequest(), makeHeaderNames());
     CHECK(head.host == "one.example");
@@ -120,8 +121,8 @@
     CHECK_FALSE(head.timeout);
 }
 
-// Guards against half events, missing ones and doubled ones where a second backend server continues a stream.
-TEST_CASE("Only whole events are passed on, each once")
+// Guards against truncated, lost and duplicated events when another backend server resumes a stream.
+TEST_CASE("Only complete events are forwarded, each exactly once")
 {
     EventRelay relay;
     std::string out;
@@ -135,14 +136,14 @@
         CHECK(out == "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
         CHECK(relay.events == 2);
     }
-    SECTION("another backend server repeats an event and goes on")
+    SECTION("another backend server repeats an event and continues")
     {
         relay.partial.clear();
         out.clear();
         relayEvents(relay, "id: 1\ndata: x\n\nid: 2\ndata: y\n\n", out);
         CHECK(out == "id: 2\ndata: y\n\n");
     }
-    SECTION("lines that end with a carriage return")
+    SECTION("lines that end with CR LF")
     {
         relay = {};
         out.clear();
