--- a/src/ingress/callerrequest.cpp
+++ b/src/ingress/callerrequest.cpp
@@ -147,8 +147,8 @@
             appendHeader(head, name, view(field.value()));
         }
     }
-    const auto left = std::chrono::duration_cast<milliseconds>(added.remaining).count();
-    appendHeader(head, names.deadline, std::to_string(std::max<std::int64_t>(1, left)));
+    const auto remaining = std::chrono::duration_cast<milliseconds>(added.remaining).count();
+    appendHeader(head, names.deadline, std::to_string(std::max<std::int64_t>(1, remaining)));
     if (!added.organisation.empty()) {
         appendHeader(head, names.organisation, added.organisation);
     }
--- a/src/ingress/callrelay.cpp
+++ b/src/ingress/callrelay.cpp
@@ -41,7 +41,7 @@
     TimedOut,
 };
 
-AttemptEnd writeEnd(bool isWritten)
+AttemptEnd endOfWrite(bool isWritten)
 {
     return isWritten ? AttemptEnd::Answered : AttemptEnd::CallerLeft;
 }
@@ -49,10 +49,10 @@
 constexpr std::array<std::string_view, 8> endNames{"answered", "caller-left", "unreachable", "not-run", "missing", "failed", "cut", "timed-out"};
 
 /** State of one call from admission to the end of the response. */
-class Relay
+class CallRelay
 {
 public:
-    Relay(CallerConnection &caller, const CallerRequest &request)
+    CallRelay(CallerConnection &caller, const CallerRequest &request)
         : m_caller(caller), m_entry(caller.entry), m_request(request), m_head(parseCallHead(request, caller.entry.settings().headers)), m_arrived(Clock::now())
     {
         m_events.lastId = m_head.lastEventId;
@@ -68,13 +68,13 @@
     asio::awaitable<AttemptEnd> relayBody(ServerExchange &exchange);
     asio::awaitable<AttemptEnd> relayEventStream(ServerExchange &exchange);
     asio::awaitable<bool> sendHeldResponse();
-    [[nodiscard]] AttemptEnd endOf(ExchangeError error) const;
+    [[nodiscard]] AttemptEnd endOfExchange(ExchangeError error) const;
     [[nodiscard]] std::string makeResponseHead(const ServerExchange &exchange, std::optional<std::size_t> length) const;
     [[nodiscard]] bool isRepeatable() const;
     [[nodiscard]] LocalResponse makeFailureResponse(AttemptEnd end) const;
     void chooseService();
     void logEnd(std::string_view outcome, unsigned status, std::string_view reason);
-    void logAttempt(const dispatch::Send &target, AttemptEnd end, TimePoint begun, unsigned status);
+    void logAttempt(const dispatch::Send &target, AttemptEnd end, TimePoint startedAt, unsigned status);
 
     CallerConnection &m_caller;
     Entry &m_entry;
@@ -85,7 +85,7 @@
     const catalog::CallRoute *m_route = nullptr;
     const catalog::OrganisationSpec *m_organisation = nullptr;
     dispatch::Call m_call;
-    std::set<std::string> m_sentTo;
+    std::set<std::string> m_attemptedServers;
     double m_tokens = 0; // charged to the organisation
     unsigned m_sends = 0;
     bool m_mayHaveRun = false;
@@ -95,12 +95,12 @@
     std::string m_heldResponse; // error response of a backend server, forwarded if no other backend server gives a better one
 };
 
-bool Relay::isRepeatable() const
+bool CallRelay::isRepeatable() const
 {
     return m_route->kind == catalog::CallKind::Idempotent || (m_route->kind == catalog::CallKind::Stream && m_route->isResumable);
 }
 
-void Relay::logEnd(std::string_view outcome, unsigned status, std::string_view reason)
+void CallRelay::logEnd(std::string_view outcome, unsigned status, std::string_view reason)
 {
     const TimePoint now = Clock::now();
     observability::DecisionLine line("call");
@@ -116,20 +116,20 @@
     observability::logDecision(line.text());
 }
 
-void Relay::logAttempt(const dispatch::Send &target, AttemptEnd end, TimePoint begun, unsigned status)
+void CallRelay::logAttempt(const dispatch::Send &target, AttemptEnd end, TimePoint startedAt, unsigned status)
 {
     const auto &servers = m_entry.dispatchState().servers;
     const auto server = servers.find(target.server);
     observability::DecisionLine line("attempt");
     line.add("id", m_head.id).add("server", target.server).add("end", endNames.at(static_cast<std::size_t>(end))).add("status", status);
-    line.add("waited-ms", begun - m_arrived).add("ms", Clock::now() - begun).add("events", m_events.events);
+    line.add("waited-ms", startedAt - m_arrived).add("ms", Clock::now() - startedAt).add("events", m_events.forwardedEvents);
     if (server != servers.end()) {
         line.add("running", server->second.running).add("others", server->second.othersRunning).add("sequence", server->second.record.sequence);
     }
     observability::logDecision(line.text());
 }
 
-asio::awaitable<bool> Relay::refuse(LocalResponse response)
+asio::awaitable<bool> CallRelay::refuse(LocalResponse response)
 {
     if (response.retryAfter) {
         // Randomises the delay so that callers refused at the same time do not retry at the same time.
@@ -142,7 +142,7 @@
     co_return co_await writeLocalResponse(m_caller, m_head.id, response);
 }
 
-void Relay::chooseService()
+void CallRelay::chooseService()
 {
     std::uint64_t total = 0;
     for (const catalog::TrafficShare &share : m_route->split) {
@@ -158,7 +158,7 @@
     }
 }
 
-asio::awaitable<bool> Relay::run()
+asio::awaitable<bool> CallRelay::run()
 {
     m_entry.metrics().callStarted();
     if (m_entry.isLameDuckOver()) {
@@ -224,7 +224,7 @@
     co_return isUsable;
 }
 
-LocalResponse Relay::makeFailureResponse(AttemptEnd end) const
+LocalResponse CallRelay::makeFailureResponse(AttemptEnd end) const
 {
     if (end == AttemptEnd::TimedOut && m_mayHaveRun) {
         return {RefusalReason::DeadlineExceeded, "the backend server has not answered in time", std::nullopt, 504};
@@ -235,13 +235,13 @@
     return {RefusalReason::Overloaded, std::string(endNames.at(static_cast<std::size_t>(end))), notRunRetryAfter, 503};
 }
 
-asio::awaitable<bool> Relay::runAttempts()
+asio::awaitable<bool> CallRelay::runAttempts()
 {
     m_entry.countRequest(m_call.service);
     AttemptEnd last = AttemptEnd::Unreachable;
     for (unsigned round = 0; round < maximumDispatchRounds; ++round) {
         const ServerChoice choice = co_await m_entry.chooseServer(m_call, *m_caller.watch);
-        if (std::holds_alternative<CallerGone>(choice)) {
+        if (std::holds_alternative<CallerDisconnected>(choice)) {
             logEnd("caller-left", 0, "while waiting for a backend server");
             m_entry.metrics().callEnded(observability::CallEnd::CallerLeft, Clock::now() - m_arrived);
             co_return false;
@@ -261,10 +261,10 @@
             co_return co_await refuse(response);
         }
         const auto &target = std::get<dispatch::Send>(choice);
-        const TimePoint begun = Clock::now();
+        const TimePoint startedAt = Clock::now();
         m_status = 0;
         last = co_await runAttempt(target);
-        logAttempt(target, last, begun, m_status);
+        logAttempt(target, last, startedAt, m_status);
         if (last == AttemptEnd::Answered) {
             m_entry.metrics().callEnded(observability::CallEnd::Completed, Clock::now() - m_arrived);
             logEnd("answered", m_status, "");
@@ -280,7 +280,7 @@
         }
         if (last == AttemptEnd::Missing) {
             m_entry.handleMissingModel(target.server, m_call);
-            if (m_sentTo.size() >= m_route->maximumAttempts) {
+            if (m_attemptedServers.size() >= m_route->maximumAttempts) {
                 m_call.pinnedServer = target.server; // the load of the adapter may finish slightly later than expected
             }
         } else {
@@ -292,8 +292,8 @@
         if (last == AttemptEnd::Failed && !isRepeatable()) {
             break;
         }
-        const bool mayGoElsewhere = m_sentTo.size() < m_route->maximumAttempts;
-        if ((!mayGoElsewhere && m_call.pinnedServer.empty()) || !m_entry.takeRetry(m_call.service)) {
+        const bool mayTryAnotherServer = m_attemptedServers.size() < m_route->maximumAttempts;
+        if ((!mayTryAnotherServer && m_call.pinnedServer.empty()) || !m_entry.takeRetry(m_call.service)) {
             break;
         }
         m_entry.metrics().attemptRetried();
@@ -317,14 +317,14 @@
     co_return co_await refuse(response);
 }
 
-asio::awaitable<bool> Relay::sendHeldResponse()
+asio::awaitable<bool> CallRelay::sendHeldResponse()
 {
     m_entry.metrics().callEnded(observability::CallEnd::Completed, Clock::now() - m_arrived);
     logEnd("answered", m_status, "held");
     co_return co_await writeBytes(m_caller, m_heldResponse);
 }
 
-AttemptEnd Relay::endOf(ExchangeError error) const
+AttemptEnd CallRelay::endOfExchange(ExchangeError error) const
 {
     if (m_caller.watch->callerLeft()) {
         return AttemptEnd::CallerLeft;
@@ -361,7 +361,7 @@
     return dispatch::CallResult::Failed;
 }
 
-asio::awaitable<AttemptEnd> Relay::runAttempt(const dispatch::Send &target)
+asio::awaitable<AttemptEnd> CallRelay::runAttempt(const dispatch::Send &target)
 {
     ServerExchange exchange(m_entry, target.address);
     m_caller.watch->setInterrupt([&exchange] {
@@ -376,20 +376,20 @@
             added.expectedServer = target.server;
             added.expectedVersion = target.adapterVersion;
             added.remaining = m_call.deadline - Clock::now();
-            added.lastEventId = m_events.events > 0 ? m_events.lastId : std::nullopt;
+            added.lastEventId = m_events.forwardedEvents > 0 ? m_events.lastId : std::nullopt;
             if (!m_call.model.empty()) {
                 added.priority = std::clamp(m_call.priority, 0, 9);
             }
-            m_sentTo.insert(target.server);
+            m_attemptedServers.insert(target.server);
             ++m_sends;
             error = co_await exchange.begin(makeForwardedHead(m_request, m_entry.settings().headers, added), m_request.body(), m_head.id, m_call.deadline);
             if (error == ExchangeError::None) {
                 end = co_await relayResponse(exchange);
             } else {
-                end = endOf(error);
+                end = endOfExchange(error);
             }
         } else {
-            end = endOf(error);
+            end = endOfExchange(error);
         }
     }
     m_caller.watch->clearInterrupt();
@@ -403,20 +403,20 @@
     co_return end;
 }
 
-asio::awaitable<AttemptEnd> Relay::relayResponse(ServerExchange &exchange)
+asio::awaitable<AttemptEnd> CallRelay::relayResponse(ServerExchange &exchange)
 {
     const HeaderNames &names = m_entry.settings().headers;
     m_status = exchange.status();
     if (m_status == 421 || !exchange.header(names.notRun).empty()) {
         const AttemptEnd notRun = m_status == 421 ? AttemptEnd::Missing : AttemptEnd::NotRun;
-        std::string dropped;
+        std::string discarded;
         do {
-            dropped.clear();
-            const ExchangeError error = co_await exchange.readBody(dropped, m_call.deadline);
+            discarded.clear();
+            const ExchangeError error = co_await exchange.readBody(discarded, m_call.deadline);
             if (error != ExchangeError::None) {
                 co_return notRun;
             }
-        } while (!dropped.empty());
+        } while (!discarded.empty());
         exchange.finish();
         co_return notRun;
     }
@@ -432,7 +432,7 @@
     co_return co_await relayBody(exchange);
 }
 
-std::string Relay::makeResponseHead(const ServerExchange &exchange, std::optional<std::size_t> length) const
+std::string CallRelay::makeResponseHead(const ServerExchange &exchange, std::optional<std::size_t> length) const
 {
     std::string head = "HTTP/1.1 " + std::to_string(exchange.status()) + " ";
     head.append(http::obsolete_reason(static_cast<http::status>(exchange.status()))).append("\r\n");
@@ -456,21 +456,21 @@
 }
 
 /** Forwards a response once it is complete, or in chunks if it exceeds the buffer limit. */
-asio::awaitable<AttemptEnd> Relay::relayBody(ServerExchange &exchange)
+asio::awaitable<AttemptEnd> CallRelay::relayBody(ServerExchange &exchange)
 {
     std::string body;
-    std::size_t before = 0;
+    std::size_t previousSize = 0;
     bool isComplete = false;
     while (!isComplete && body.size() <= m_entry.settings().bufferedResponseBytes) {
-        before = body.size();
+        previousSize = body.size();
         const ExchangeError error = co_await exchange.readBody(body, m_call.deadline);
         if (error != ExchangeError::None) {
-            co_return endOf(error);
+            co_return endOfExchange(error);
         }
-        isComplete = body.size() == before;
+        isComplete = body.size() == previousSize;
     }
     if (isComplete) {
-        const bool isServerFault = m_status >= 500 && isRepeatable() && m_sentTo.size() < m_route->maximumAttempts;
+        const bool isServerFault = m_status >= 500 && isRepeatable() && m_attemptedServers.size() < m_route->maximumAttempts;
         std::string text = makeResponseHead(exchange, body.size());
         exchange.finish();
         text += body;
@@ -479,7 +479,7 @@
             co_return AttemptEnd::Failed;
         }
         const bool isWritten = co_await writeBytes(m_caller, text);
-        co_return writeEnd(isWritten);
+        co_return endOfWrite(isWritten);
     }
     m_headSent = true;
     const std::string head = makeResponseHead(exchange, std::nullopt);
@@ -499,7 +499,7 @@
         if (body.empty()) {
             exchange.finish();
             isWritten = co_await writeBytes(m_caller, "0\r\n\r\n");
-            co_return writeEnd(isWritten);
+            co_return endOfWrite(isWritten);
         }
         isWritten = co_await writeChunk(m_caller, body);
         if (!isWritten) {
@@ -508,29 +508,29 @@
     }
 }
 
-asio::awaitable<AttemptEnd> Relay::relayEventStream(ServerExchange &exchange)
+asio::awaitable<AttemptEnd> CallRelay::relayEventStream(ServerExchange &exchange)
 {
     m_events.partial.clear();
     std::string bytes;
-    std::string whole;
+    std::string completeEvents;
     const auto cutOrFailed = [this] {
         return m_route->isResumable || !m_headSent ? AttemptEnd::Failed : AttemptEnd::Cut;
     };
     for (;;) {
         bytes.clear();
-        whole.clear();
+        completeEvents.clear();
         const ExchangeError error = co_await exchange.readBody(bytes, m_call.deadline);
         if (error != ExchangeError::None) {
-            const AttemptEnd end = endOf(error);
+            const AttemptEnd end = endOfExchange(error);
             co_return end == AttemptEnd::Failed ? cutOrFailed() : end;
         }
         const bool isEnd = bytes.empty();
-        relayEvents(m_events, bytes, whole);
+        relayEvents(m_events, bytes, completeEvents);
         if (isEnd && !m_events.partial.empty()) {
             // The body was terminated correctly, but the last event is incomplete: the backend server stopped in the middle of it.
             co_return cutOrFailed();
         }
-        if (!m_headSent && (!whole.empty() || isEnd)) {
+        if (!m_headSent && (!completeEvents.empty() || isEnd)) {
             m_headSent = true;
             m_entry.metrics().firstToken(Clock::now() - m_arrived);
             const std::string head = makeResponseHead(exchange, std::nullopt);
@@ -539,8 +539,8 @@
                 co_return AttemptEnd::CallerLeft;
             }
         }
-        if (!whole.empty()) {
-            const bool isWritten = co_await writeChunk(m_caller, whole);
+        if (!completeEvents.empty()) {
+            const bool isWritten = co_await writeChunk(m_caller, completeEvents);
             if (!isWritten) {
                 co_return AttemptEnd::CallerLeft;
             }
@@ -548,7 +548,7 @@
         if (isEnd) {
             exchange.finish();
             const bool isWritten = co_await writeBytes(m_caller, "0\r\n\r\n");
-            co_return writeEnd(isWritten);
+            co_return endOfWrite(isWritten);
         }
     }
 }
@@ -557,7 +557,7 @@
 
 asio::awaitable<bool> relayCall(CallerConnection &caller, const CallerRequest &request)
 {
-    Relay relay(caller, request);
+    CallRelay relay(caller, request);
     co_return co_await relay.run();
 }
 
--- a/src/ingress/entry.h
+++ b/src/ingress/entry.h
@@ -30,7 +30,7 @@
 namespace mimosahollow::ingress {
 
 /** The caller disconnected while its call waited. */
-struct CallerGone
+struct CallerDisconnected
 {
 };
 
@@ -40,7 +40,7 @@
     NoLeader, /**< No leader replied in time. */
 };
 
-using ServerChoice = std::variant<dispatch::Send, dispatch::Refuse, CallerGone>;
+using ServerChoice = std::variant<dispatch::Send, dispatch::Refuse, CallerDisconnected>;
 
 /** Entry instance: accepts calls from clients and relays them to backend servers. Runs on one event loop. */
 class Entry
@@ -95,7 +95,7 @@
     void removeIdleStream(std::list<boost::beast::tcp_stream *>::iterator position);
 
 private:
-    struct Waiter;
+    struct WaitingCall;
     struct ExpectedRetries
     {
         std::string service;
@@ -147,7 +147,7 @@
     std::map<std::pair<std::string, std::string>, RunningCalls> m_running; // calls on inference engines, by model and adapter
     /** Adapters of refused calls that are expected to be retried; they are reported as wanted until the retry is due. */
     std::map<std::pair<std::string, std::string>, ExpectedRetries> m_expectedRetries;
-    std::list<Waiter *> m_waiters; // most urgent first
+    std::list<WaitingCall *> m_waitingCalls; // most urgent first
     std::list<TokenWaiter *> m_tokenWaiters;
     std::vector<boost::asio::steady_timer *> m_stateWaiters;
     bool m_dispatchPosted = false;
--- a/src/ingress/entrycalls.cpp
+++ b/src/ingress/entrycalls.cpp
@@ -79,7 +79,7 @@
 {
     const TimePoint now = Clock::now();
     dispatch::Decision decision = dispatch::decide(m_dispatch, call, now);
-    Waiter waiter(m_context);
+    WaitingCall waiter(m_context);
     if (const auto *send = std::get_if<dispatch::Send>(&decision)) {
         dispatch::callStarted(m_dispatch, send->server, now);
         waiter.choice = *send;
@@ -90,14 +90,14 @@
         waiter.call = &call;
         waiter.until = wait.until;
         waiter.timer.expires_at(TimePoint::max());
-        const auto isLessUrgent = [&call](const Waiter *other) {
+        const auto isLessUrgent = [&call](const WaitingCall *other) {
             return std::tie(other->call->priority, other->call->arrived) > std::tie(call.priority, call.arrived);
         };
-        const auto position = m_waiters.insert(std::find_if(m_waiters.begin(), m_waiters.end(), isLessUrgent), &waiter);
-        metrics().setWaitingCalls(m_waiters.size());
+        const auto position = m_waitingCalls.insert(std::find_if(m_waitingCalls.begin(), m_waitingCalls.end(), isLessUrgent), &waiter);
+        metrics().setWaitingCalls(m_waitingCalls.size());
         watch.setInterrupt([&waiter] {
             if (!waiter.choice) {
-                waiter.choice = CallerGone{};
+                waiter.choice = CallerDisconnected{};
                 waiter.timer.cancel();
             }
         });
@@ -109,8 +109,8 @@
             co_await waiter.timer.async_wait(asio::as_tuple(asio::use_awaitable));
         }
         watch.clearInterrupt();
-        m_waiters.erase(position);
-        metrics().setWaitingCalls(m_waiters.size());
+        m_waitingCalls.erase(position);
+        metrics().setWaitingCalls(m_waitingCalls.size());
     }
     if (!waiter.choice) {
         waiter.choice = dispatch::Refuse{dispatch::RefusalCause::NoCapacity, seconds(1)};
@@ -137,7 +137,7 @@
         }
     }
     dispatch::callEnded(m_dispatch, server, result, Clock::now());
-    if (!m_waiters.empty()) {
+    if (!m_waitingCalls.empty()) {
         postDispatchWaitingCalls();
     }
 }
@@ -164,7 +164,7 @@
 {
     const TimePoint now = Clock::now();
     TimePoint next = TimePoint::max();
-    for (Waiter *waiter : m_waiters) {
+    for (WaitingCall *waiter : m_waitingCalls) {
         if (waiter->choice) {
             continue;
         }
--- a/src/ingress/entryinternal.h
+++ b/src/ingress/entryinternal.h
@@ -10,9 +10,9 @@
 namespace mimosahollow::ingress {
 
 /** A call that waits for a backend server. */
-struct Entry::Waiter
+struct Entry::WaitingCall
 {
-    explicit Waiter(boost::asio::io_context &context) : timer(context)
+    explicit WaitingCall(boost::asio::io_context &context) : timer(context)
     {
     }
     const dispatch::Call *call = nullptr;
--- a/src/ingress/entrylinks.cpp
+++ b/src/ingress/entrylinks.cpp
@@ -25,15 +25,15 @@
 void Entry::linkMessage(const fleetlink::Peer &peer, fleetlink::LinkMessage message)
 {
     const TimePoint now = Clock::now();
-    if (const auto *known = std::get_if<fleetlink::Coordinators>(&message)) {
-        for (const std::string &address : known->addresses) {
+    if (const auto *coordinators = std::get_if<fleetlink::Coordinators>(&message)) {
+        for (const std::string &address : coordinators->addresses) {
             m_hub->dial(address);
         }
-        if (!known->leader.empty() && known->leader != m_leader) {
+        if (!coordinators->leader.empty() && coordinators->leader != m_leader) {
             observability::DecisionLine line("leader-known");
-            line.add("leader", known->leader).add("before", m_leader).add("source", peer.hello.name);
+            line.add("leader", coordinators->leader).add("before", m_leader).add("source", peer.hello.name);
             observability::logDecision(line.text());
-            m_leader = known->leader;
+            m_leader = coordinators->leader;
             m_sendsHistory = true;
             m_hub->dial(m_leader);
             sendReport(now);
@@ -194,7 +194,7 @@
 {
     m_lastReport = now;
     m_reportAt = {};
-    bool isBusy = !m_waiters.empty() || !m_tokenWaiters.empty();
+    bool isBusy = !m_waitingCalls.empty() || !m_tokenWaiters.empty();
     if (const fleetlink::Peer *leader = m_hub->findDialed(m_leader)) {
         fleetlink::EntryReport report;
         report.stamp = static_cast<std::uint64_t>(fleetlink::bootMilliseconds());
@@ -226,7 +226,7 @@
                 isBusy = true;
             }
         }
-        for (const Waiter *waiter : m_waiters) {
+        for (const WaitingCall *waiter : m_waitingCalls) {
             if (!waiter->call->model.empty() && !waiter->choice) {
                 fleetlink::AdapterDemand &demand = demandOf(waiter->call->model, waiter->call->adapter, waiter->call->service);
                 ++demand.waiting;
--- a/src/ingress/eventrelay.cpp
+++ b/src/ingress/eventrelay.cpp
@@ -60,7 +60,7 @@
         if (id) {
             relay.lastId = id;
         }
-        ++relay.events;
+        ++relay.forwardedEvents;
         out.append(event);
     }
     relay.partial.erase(0, relay.partial.size() - rest.size());
--- a/src/ingress/eventrelay.h
+++ b/src/ingress/eventrelay.h
@@ -16,7 +16,7 @@
 {
     std::string partial; /**< Received part of an incomplete event. */
     std::optional<std::uint64_t> lastId; /**< Id of the newest event that was forwarded or that the caller already has. */
-    std::uint64_t events = 0; /**< Number of forwarded events. */
+    std::uint64_t forwardedEvents = 0;
 };
 
 /** Adds @p bytes to the stream and appends the events that are now complete to @p out, skipping those with an id up to lastId. */
--- a/src/ingress/serverexchange.cpp
+++ b/src/ingress/serverexchange.cpp
@@ -99,14 +99,14 @@
         if (echoed.empty() || echoed == callId) {
             co_return ExchangeError::None;
         }
-        std::string dropped;
+        std::string discarded;
         do {
-            dropped.clear();
-            const ExchangeError error = co_await readBody(dropped, deadline);
+            discarded.clear();
+            const ExchangeError error = co_await readBody(discarded, deadline);
             if (error != ExchangeError::None) {
                 co_return error;
             }
-        } while (!dropped.empty());
+        } while (!discarded.empty());
     }
     co_return ExchangeError::Broken;
 }
--- a/tests/ingress/ingress.cpp
+++ b/tests/ingress/ingress.cpp
@@ -134,7 +134,7 @@
     {
         relayEvents(relay, "ta: y\n\n", out);
         CHECK(out == "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
-        CHECK(relay.events == 2);
+        CHECK(relay.forwardedEvents == 2);
     }
     SECTION("another backend server repeats an event and continues")
     {
