--- a/src/serving/attempts.cpp
+++ b/src/serving/attempts.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint32_t maximumAttempts = 3;
 constexpr unsigned firstServerError = 500;
 
-bool wasNotSent(AttemptOutcome outcome)
+bool wasNotRun(AttemptOutcome outcome)
 {
     return outcome == AttemptOutcome::ConnectionRefused || outcome == AttemptOutcome::AdapterMissing;
 }
@@ -37,7 +37,7 @@
 
 std::uint64_t usedTokens(const Call &call, const gateway::ServingResult &result)
 {
-    if (wasNotSent(result.outcome)) {
+    if (wasNotRun(result.outcome)) {
         return 0;
     }
     return std::uint64_t{call.request.promptTokens} + result.outputTokens;
@@ -78,7 +78,7 @@
 
 bool mayRetry(ServingState &state, const Call &call, const gateway::ServingResult &result, TimePoint now)
 {
-    const bool safe = call.repeatable || wasNotSent(result.outcome);
+    const bool safe = call.repeatable || wasNotRun(result.outcome);
     return safe && now < call.deadline && call.attempts < maximumAttempts && admission::takeRetry(state.retryBudget);
 }
 
@@ -104,7 +104,7 @@
     const scheduling::Release release = makeRelease(call, result);
     const PoolId pool = call.pool;
     const std::uint64_t used = usedTokens(call, result);
-    call.mayHaveRun = call.mayHaveRun || !wasNotSent(result.outcome);
+    call.mayHaveRun = call.mayHaveRun || !wasNotRun(result.outcome);
     if (!result.awaitsReply) {
         if (call.recorded && result.outcome == AttemptOutcome::Completed && !result.answerOmitted) {
             completeRecord(call, result, actions);
@@ -118,7 +118,7 @@
         requestGrant(state, call, now, actions);
         return;
     } else {
-        const CallOutcome outcome = wasNotSent(result.outcome) ? CallOutcome::NotRun : CallOutcome::Unknown;
+        const CallOutcome outcome = wasNotRun(result.outcome) ? CallOutcome::NotRun : CallOutcome::Unknown;
         const RefusalReason reason = now >= call.deadline ? RefusalReason::DeadlineExceeded : RefusalReason::BackendFailed;
         refuseCall(state, result.id, reason, outcome, {}, now, actions);
     }
--- a/tests/scheduling/fairness.cpp
+++ b/tests/scheduling/fairness.cpp
@@ -16,7 +16,7 @@
         pool.submitRequest(0, 1);
     }
     const RequestId small = pool.submitRequest(0, 2);
-    // It starts with the virtual time of the other organisation, so it is served second at the latest.
+    // Organisation 2 starts with the virtual time of organisation 1, so its request is the second of the next grants at the latest.
     pool.returnGrant(running);
     auto next = pool.only<Grant>().value();
     if (next.id != small) {
--- a/tests/scheduling/limits.cpp
+++ b/tests/scheduling/limits.cpp
@@ -13,7 +13,7 @@
     return pool.state.servers[0].slowStart.limit;
 }
 
-/** Runs requests at the limit until it reaches @p target. */
+/** Completes requests, one at a time, until the slow-start limit of the first server reaches @p target. */
 void warmUp(PoolFixture &pool, std::uint32_t target)
 {
     while (limitOf(pool) < target) {
@@ -43,6 +43,7 @@
 
     SECTION("slow responses do not count")
     {
+        // 130 ms is more than 2 x the baseline of 50 ms, so the response is not good, but less than 4 x, so the server is not cold.
         for (int i = 0; i < 8; ++i) {
             pool.submitRequest(0);
             pool.returnGrant(pool.only<Grant>().value(), ReleaseOutcome::Completed, milliseconds(130));
@@ -72,6 +73,7 @@
 {
     PoolFixture pool(1, 8, 2, 1);
     warmUp(pool, 8);
+    // A latency of more than 4 x the baseline of 50 ms shows a cold server.
     pool.submitRequest(0);
     pool.returnGrant(pool.only<Grant>().value(), ReleaseOutcome::Completed, milliseconds(190));
     REQUIRE(limitOf(pool) == 8);
--- a/tests/scheduling/loads.cpp
+++ b/tests/scheduling/loads.cpp
@@ -228,15 +228,16 @@
         pool.returnGrant(running);
     }
     pool.submitRequest(0);
-    const RequestId inTime = pool.submitRequest(0, 1, 100, milliseconds(2900));
-    const RequestId tooLong = pool.submitRequest(0, 1, 200, milliseconds(4500));
+    // At 20 ms per token the requests run for 2 s and 4 s, so they must start within about 0.9 s and 0.5 s.
+    const RequestId refusedLater = pool.submitRequest(0, 1, 100, milliseconds(2900));
+    const RequestId refusedFirst = pool.submitRequest(0, 1, 200, milliseconds(4500));
     pool.advance(milliseconds(490));
     REQUIRE(pool.all<Refusal>().empty());
     pool.advance(milliseconds(30));
-    REQUIRE(pool.only<Refusal>()->id == tooLong);
+    REQUIRE(pool.only<Refusal>()->id == refusedFirst);
     REQUIRE(pool.only<Refusal>()->reason == RefusalReason::Overloaded);
     pool.advance(milliseconds(400));
-    REQUIRE(pool.only<Refusal>()->id == inTime);
+    REQUIRE(pool.only<Refusal>()->id == refusedLater);
 }
 
 // Guards against eviction of adapters that are in use or waited for (P2), and of popular ones.
--- a/tests/scheduling/randomrun.h
+++ b/tests/scheduling/randomrun.h
@@ -259,6 +259,7 @@
         const FencingNumber fencing = m_state.fencing + 1;
         m_state = makePool(PoolId{1}, settings(), m_now);
         m_state.nextOrder = orders; // results of earlier orders do not arrive at the new owner
+        // After 52 s every request of the earlier owner has expired: submitRequest() sets deadlines of at most 51.2 s.
         takeOver(m_state, {fencing, {InstanceId{1}, InstanceId{2}}, m_now + seconds(52), m_now}, m_now);
         for (auto &[id, server] : checker.servers) {
             // The new owner starts with cold limits and without baselines. Orders in flight may have taken effect; the servers list their
--- a/tests/serving/randomrun.cpp
+++ b/tests/serving/randomrun.cpp
@@ -50,10 +50,10 @@
 
 void endRandomCall(Fleet &fleet, Random &random)
 {
-    const bool waiting = random.below(4) == 0;
+    const bool includeWaiting = random.below(4) == 0;
     std::vector<RequestId> open;
     for (const auto &[id, call] : fleet.calls) {
-        if (call.grant || (waiting && call.finalReplies == 0)) {
+        if (call.grant || (includeWaiting && call.finalReplies == 0)) {
             open.push_back(id);
         }
     }
@@ -83,8 +83,8 @@
         break;
     case 2: {
         const auto pool = static_cast<std::uint32_t>(random.below(4) + 1);
-        const auto member = static_cast<std::uint32_t>(random.below(2) + 1);
-        fleet.assign(pool, pool <= 2 ? member : member + 2);
+        const auto owner = static_cast<std::uint32_t>(random.below(2) + 1);
+        fleet.assign(pool, pool <= 2 ? owner : owner + 2);
         break;
     }
     case 3: {
@@ -164,11 +164,11 @@
         UNSCOPED_INFO(violation);
     }
     REQUIRE(fleet.violations.empty());
-    unsigned completed = 0;
+    unsigned executed = 0;
     for (const auto &[id, call] : fleet.calls) {
-        completed += call.runs > 0 ? 1 : 0;
+        executed += call.runs > 0 ? 1 : 0;
     }
-    REQUIRE(completed > 200); // a run in which most calls are refused would not exercise the properties
+    REQUIRE(executed > 200); // a run in which most calls are refused would not exercise the properties
 }
 
 // Guards against checks in the simulation that detect nothing: injected faults must be reported.
