--- a/src/control/calls.cpp
+++ b/src/control/calls.cpp
@@ -65,6 +65,7 @@
     while (!state.callOrder.empty()) {
         const auto &[key, beginId] = state.callOrder.front();
         const auto found = state.calls.find(key);
+        // The record is missing if the call was abandoned; if the call was then begun again, the new record has its own place in the order.
         const bool present = found != state.calls.end() && found->second.beginId == beginId;
         if (present && state.time - found->second.startTime < state.limits.callRetention) {
             return;
--- a/src/control/consensus.cpp
+++ b/src/control/consensus.cpp
@@ -164,6 +164,8 @@
         actions.emplace_back(ReadRejected{read});
         return read;
     }
+    // Only replies to messages sent from now on confirm the read. It must not be served before the first entry of this term is applied,
+    // because until then commitIndex may lack entries that an earlier leader committed.
     state.pendingReads.push_back({read, state.round + 1, std::max(state.commitIndex, state.termStart)});
     state.roundNeeded = true;
     return read;
--- a/src/control/consensusfollower.cpp
+++ b/src/control/consensusfollower.cpp
@@ -162,6 +162,7 @@
     state.appliedIndex = index;
     state.syncedIndex = index;
     state.leaderMatchIndex = index;
+    // Pending writes of the replaced log must not report its indexes as durable.
     for (PendingWrite &write : state.pendingWrites) {
         write.lastIndex = 0;
     }
--- a/src/control/consensusleader.cpp
+++ b/src/control/consensusleader.cpp
@@ -223,6 +223,7 @@
             advanceCommit(state, now, actions);
         }
     } else if (progress.snapshot.index == 0 && reply.matchIndex < progress.nextIndex) {
+        // A rejection carries the next index to try as matchIndex. Empty requests probe for it; entries follow once one is accepted.
         progress.nextIndex = std::max(reply.matchIndex, progress.matchIndex + 1);
         progress.probing = true;
         sendHeartbeat(state, from, now, actions);
--- a/src/control/consensuslog.cpp
+++ b/src/control/consensuslog.cpp
@@ -79,7 +79,7 @@
 void send(ConsensusState &state, VoterId to, ConsensusMessage message, ConsensusActions &actions)
 {
     SendToVoter outgoing{to, std::move(message)};
-    // A voter that loses its term or vote in a crash could vote twice in one term.
+    // Messages wait until term and vote are durable: a voter that loses them in a crash could vote twice in one term.
     if (state.voteWrite > state.syncedWrite) {
         state.deferredMessages.push_back({state.voteWrite, std::move(outgoing)});
         return;
@@ -163,7 +163,8 @@
     state.logStartTerm = durable.snapshot.term;
     auto firstKept = durable.entries.begin();
     if (!durable.entries.empty() && firstKept->index <= state.logStart) {
-        // The term of the entry before the first stored one is unknown, so the first stored entry itself becomes logStart.
+        // logStart needs a known term. Index 0, before the first entry of all, has term 0. Before any other first stored entry the term is
+        // unknown, so that entry itself becomes logStart.
         if (firstKept->index == 1) {
             state.logStart = 0;
             state.logStartTerm = 0;
@@ -174,7 +175,7 @@
         }
     }
     state.log.assign(firstKept, durable.entries.end());
-    // Before the snapshot index this is only an approximation, but the membership there is never needed.
+    // The membership at logStart may differ from that of the snapshot, but memberships before the snapshot index are never needed.
     state.logStartMembers = durable.snapshot.members.empty() ? std::move(firstMembers) : durable.snapshot.members;
     refreshMembership(state);
     state.commitIndex = durable.snapshot.index;
@@ -196,6 +197,7 @@
     }
     state.snapshot = snapshotPoint(state, index);
     state.snapshotData = std::move(data);
+    // The stored snapshot makes its entries durable.
     state.syncedIndex = std::max(state.syncedIndex, index);
     const LogIndex start = index > state.options.keptEntries ? index - state.options.keptEntries : 0;
     if (start <= state.logStart) {
@@ -229,6 +231,7 @@
     if (state.role == VoterRole::Leader) {
         advanceCommit(state, now, actions);
     } else {
+        // Round 0 confirms no reads: this is not a reply to a message of the leader.
         reportDurableIndex(state, 0, actions);
     }
 }
--- a/src/control/election.cpp
+++ b/src/control/election.cpp
@@ -125,6 +125,7 @@
 
 void receiveVoteReply(ConsensusState &state, VoterId from, const VoteReply &reply, TimePoint now, ConsensusActions &actions)
 {
+    // A granted pre-vote carries the term of an election that has not started, so it does not show a newer term.
     const bool grantedPreVote = reply.preVote && reply.granted;
     if (reply.term > state.term && !grantedPreVote) {
         becomeFollower(state, reply.term, VoterId{}, now, actions);
--- a/src/control/signedbundle.cpp
+++ b/src/control/signedbundle.cpp
@@ -55,7 +55,7 @@
     return text;
 }
 
-const std::uint8_t *unsignedBytes(std::string_view text)
+const std::uint8_t *bytePointer(std::string_view text)
 {
     return reinterpret_cast<const std::uint8_t *>(text.data());
 }
@@ -63,13 +63,13 @@
 Signature sign(std::string_view text, const SecretKey &key)
 {
     Signature signature{};
-    crypto_sign_detached(signature.data(), nullptr, unsignedBytes(text), text.size(), key.data());
+    crypto_sign_detached(signature.data(), nullptr, bytePointer(text), text.size(), key.data());
     return signature;
 }
 
 bool isSigned(std::string_view text, const Signature &signature, const PublicKey &key)
 {
-    return crypto_sign_verify_detached(signature.data(), unsignedBytes(text), text.size(), key.data()) == 0;
+    return crypto_sign_verify_detached(signature.data(), bytePointer(text), text.size(), key.data()) == 0;
 }
 
 const Operator *findOperator(std::span<const Operator> operators, std::string_view name)
@@ -168,7 +168,7 @@
 Digest bundleHash(std::string_view text)
 {
     Digest digest{};
-    crypto_generichash(digest.data(), digest.size(), unsignedBytes(text), text.size(), nullptr, 0);
+    crypto_generichash(digest.data(), digest.size(), bytePointer(text), text.size(), nullptr, 0);
     return digest;
 }
 
--- a/src/control/wire.cpp
+++ b/src/control/wire.cpp
@@ -116,7 +116,7 @@
 
 void unpack(WireReader &reader, const wire::Route &table, Route &route)
 {
-    // Longer than any deadline; much larger values would overflow when converted to nanoseconds.
+    // One hour in microseconds, longer than any deadline; much larger values would overflow when converted to nanoseconds.
     constexpr std::int64_t maximumDeadline = 3'600'000'000;
     reader.failed = reader.failed || table.deadline_us() < 0 || table.deadline_us() > maximumDeadline;
     if (reader.failed) {
--- a/tests/control/consensus.cpp
+++ b/tests/control/consensus.cpp
@@ -51,7 +51,7 @@
 {
     ConsensusState state = makeVoter(one);
     ConsensusActions actions;
-    now = start + milliseconds(700);
+    now = start + milliseconds(700); // after the longest election timeout
     tick(state, now, actions);
     receive(state, two, VoteReply{1, true, true}, now, actions);
     logSynced(state, state.lastWrite, now, actions);
--- a/tests/control/simulation.cpp
+++ b/tests/control/simulation.cpp
@@ -493,6 +493,7 @@
         if (static_cast<EntryKind>(entry.second[0]) == EntryKind::Command) {
             const auto command = std::get<Command>(link::decodeCommand(std::span(entry.second).subspan(1)));
             const CommandResult result = apply(model, index, command);
+            // A resent command can be committed several times; it takes effect at its first index.
             if (m_firstIndex.at(command.id) == index) {
                 results[command.id] = result;
             }
