--- a/src/control/bundleapply.cpp
+++ b/src/control/bundleapply.cpp
@@ -118,6 +118,7 @@
                 insertOrReplace(next.keys, key);
             }
         }
+        // A key that an operator granted is kept unless the bundle declares the same key or lacks the key's organisation.
         for (const ApiKey &key : state.configuration.keys) {
             const bool kept = state.grantedKeys.contains(key.hash) && hasOrganisation(key.organisation) && findElement(next.keys, key.hash) == nullptr;
             if (kept) {
@@ -143,6 +144,8 @@
             adapters.push_back(std::move(adapter));
         }
         std::set<AdapterId> published;
+        // An adapter that an operator published is kept unless the bundle declares the same adapter or lacks its base model. It is no longer
+        // the default if the bundle declares another default for its name.
         for (Adapter adapter : state.configuration.adapters) {
             const bool hasBase = std::find(bundle.baseModels.begin(), bundle.baseModels.end(), adapter.baseModel) != bundle.baseModels.end();
             if (!state.publishedAdapters.contains(adapter.id) || declared.contains(adapter.id) || !hasBase) {
--- a/src/control/snapshot.cpp
+++ b/src/control/snapshot.cpp
@@ -12,7 +12,10 @@
 namespace {
 
 constexpr std::uint64_t snapshotMagic = 0x45544154534C484DULL; // "MHLSTATE" as little-endian bytes
-/** Limit for the verifier. Allows 1,000,000 calls with a key each, 93,000 adapters twice, and 100,000 results and audit records, with a margin. */
+/**
+ * Limit for the verifier. Allows 1,000,000 calls with a key each, 93,000 adapters twice (in the configuration and in the list of ids), and 100,000
+ * results and audit records, with a margin.
+ */
 constexpr flatbuffers::uoffset_t maximumTables = 16'000'000;
 
 struct SnapshotHeader
--- a/tests/control/cluster.cpp
+++ b/tests/control/cluster.cpp
@@ -295,12 +295,12 @@
     };
     REQUIRE(std::holds_alternative<ProposalAccepted>(simulation.change(addVoter4)));
     REQUIRE(std::get<ProposalRejected>(simulation.change(addVoter4)).error == ProposalError::ChangeInProgress);
-    const auto hasVote = [&simulation] {
+    const auto voter4IsPromoted = [&simulation] {
         const auto *leader = simulation.leader();
         return leader != nullptr && leader->consensus.membersIndex <= leader->consensus.commitIndex && leader->consensus.members.size() == 4
                && !leader->consensus.members.back().learner;
     };
-    REQUIRE(simulation.runUntil(hasVote, seconds(20)));
+    REQUIRE(simulation.runUntil(voter4IsPromoted, seconds(20)));
     const auto removeVoter1 = [](ConsensusState &state, TimePoint now, ConsensusActions &actions) {
         return proposeRemoval(state, VoterId{1}, now, actions);
     };
--- a/tests/control/codec.cpp
+++ b/tests/control/codec.cpp
@@ -127,15 +127,16 @@
     constexpr std::uint64_t seed = 20261204;
     INFO("seed " << seed);
     std::mt19937_64 random(seed);
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     const auto check = [&](const Bytes &bytes, auto decode) {
         for (std::size_t size = 0; size < bytes.size() / 2; ++size) {
-            refused += decode(std::span(bytes).first(size)).index();
+            // The index is 1 for a CodecError.
+            rejected += decode(std::span(bytes).first(size)).index();
         }
         for (int i = 0; i < 300; ++i) {
             Bytes damaged = bytes;
             damaged[random() % damaged.size()] = static_cast<std::uint8_t>(random());
-            refused += decode(damaged).index();
+            rejected += decode(damaged).index();
         }
     };
     for (const Command &command : allCommands()) {
@@ -146,6 +147,6 @@
     }
     check(link::encode(fullConfiguration()), link::decodeConfiguration);
     check(link::encode(difference({}, fullConfiguration())), link::decodeIncrement);
-    REQUIRE(refused > 1000);
+    REQUIRE(rejected > 1000);
     REQUIRE(std::holds_alternative<link::CodecError>(link::decodeCommand({})));
 }
--- a/tests/control/signedbundle.cpp
+++ b/tests/control/signedbundle.cpp
@@ -25,6 +25,7 @@
 {
     const KeyPair ann = keyPair(1);
     const KeyPair bob = keyPair(2);
+    // Name, key, may author bundles, may approve bundles.
     const std::vector<Operator> operators{{"ann", ann.publicKey, true, true},
                                           {"bob", bob.publicKey, false, true},
                                           {"reader", keyPair(3).publicKey, false, false},
--- a/tests/control/statemachine.cpp
+++ b/tests/control/statemachine.cpp
@@ -307,6 +307,7 @@
     for (int i = 0; i < 9; ++i) {
         machine.run(SetRate{"one", 5, 5});
     }
+    // Of the records 1 to 10, 6 to 10 are kept.
     AuditLog log = machine.state.audit;
     REQUIRE(log.records.size() == 5);
     REQUIRE(log.droppedRecords == 5);
