--- a/src/admission/leaseplan.cpp
+++ b/src/admission/leaseplan.cpp
@@ -43,7 +43,7 @@
 constexpr double minimumUsefulPart = 0.5;
 
 // When a call has waited for half of its time, any amount is requested, but from at most this many failure domains at once.
-constexpr std::size_t urgentDomains = 6;
+constexpr std::size_t maximumUrgentDomains = 6;
 
 std::uint64_t ageClassOf(const WaitingCall &call, TimePoint now)
 {
@@ -133,7 +133,7 @@
         return left.unreachable != right.unreachable ? right.unreachable : left.reachable > right.reachable;
     });
     const bool urgent = !account.waiting.empty() && now - account.waiting.front().since > account.waiting.front().deadline - now;
-    std::size_t urgentLeft = urgent ? urgentDomains : 0;
+    std::size_t urgentLeft = urgent ? maximumUrgentDomains : 0;
     Tokens covered = 0;
     for (const Candidate &candidate : candidates) {
         const auto lease = candidate.source->leases.find(id);
@@ -206,27 +206,27 @@
 {
     Tokens reachable = available(leases, id, now);
     Tokens capacity = 0;
-    double fill = 0;
-    bool known = false;
+    double refillRate = 0;
+    bool anyOwnerKnown = false;
     for (const LeaseSource &source : leases.sources) {
         // An unreachable home owner has crashed and will be replaced, so calls wait for its successor. Other owners are partitioned off.
         const bool unreachable = isUnreachable(source, now) && !isHome(leases, source);
-        known = known || !source.retired;
+        anyOwnerKnown = anyOwnerKnown || !source.retired;
         if (source.retired || unreachable) {
             continue;
         }
         reachable += reachableIn(source, id, account, now);
         capacity += capacityOf(source, account);
-        fill += account.rate * source.share;
+        refillRate += account.rate * source.share;
     }
-    if (!known) {
+    if (!anyOwnerKnown) {
         // No bucket owner is known yet; the call waits until one is.
         return Duration::zero();
     }
-    if (cost > capacity + tokenTolerance || (needed > reachable && fill <= 0)) {
+    if (cost > capacity + tokenTolerance || (needed > reachable && refillRate <= 0)) {
         return std::nullopt;
     }
-    return needed <= reachable ? Duration::zero() : fromSeconds((needed - reachable) / fill);
+    return needed <= reachable ? Duration::zero() : fromSeconds((needed - reachable) / refillRate);
 }
 
 } // namespace mimosahollow::admission
--- a/src/admission/quotaleases.cpp
+++ b/src/admission/quotaleases.cpp
@@ -43,7 +43,7 @@
     }
 }
 
-void refuseLate(const QuotaLeases &leases, AccountId id, LeaseAccount &account, TimePoint now, LeaseActions &out)
+void refuseUnservable(const QuotaLeases &leases, AccountId id, LeaseAccount &account, TimePoint now, LeaseActions &out)
 {
     Tokens earlierCost = 0;
     for (auto call = account.waiting.begin(); call != account.waiting.end();) {
@@ -60,11 +60,11 @@
     }
 }
 
-void serveActive(QuotaLeases &leases, TimePoint now, LeaseActions &out)
+void serveWaitingAccounts(QuotaLeases &leases, TimePoint now, LeaseActions &out)
 {
     for (const AccountId id : leases.waitingAccounts) {
         LeaseAccount &account = leases.accounts[id];
-        refuseLate(leases, id, account, now, out);
+        refuseUnservable(leases, id, account, now, out);
         runWaiting(leases, id, account, now, out);
         const std::uint64_t priority = account.priority;
         planRequests(leases, id, account, now);
@@ -363,7 +363,7 @@
     std::erase_if(leases.sources, [](const LeaseSource &source) {
         return source.retired && source.session == 0;
     });
-    serveActive(leases, now, out);
+    serveWaitingAccounts(leases, now, out);
     for (LeaseSource &source : leases.sources) {
         if (source.retired) {
             continue;
--- a/src/routing/poolchoice.cpp
+++ b/src/routing/poolchoice.cpp
@@ -13,8 +13,8 @@
 struct PoolSurvey
 {
     std::optional<std::size_t> local;
-    Duration localWait = Duration::max();
-    Duration bestRemote = Duration::max();
+    Duration localCost = Duration::max();
+    Duration lowestRemoteCost = Duration::max();
     std::uint32_t candidates = 0;
 };
 
@@ -56,26 +56,26 @@
             continue;
         }
         ++result.candidates;
-        const Duration wait = cost(pools[i], query.adapter);
+        const Duration poolCost = cost(pools[i], query.adapter);
         if (pools[i].domain != query.local) {
-            result.bestRemote = std::min(result.bestRemote, wait);
-        } else if (!result.local || wait < result.localWait) {
+            result.lowestRemoteCost = std::min(result.lowestRemoteCost, poolCost);
+        } else if (!result.local || poolCost < result.localCost) {
             result.local = i;
-            result.localWait = wait;
+            result.localCost = poolCost;
         }
     }
     return result;
 }
 
 /** Maximum cost of the remote pools that take part in the random choice. */
-Duration remoteWaitLimit(const PoolSurvey &survey) noexcept
+Duration remoteCostLimit(const PoolSurvey &survey) noexcept
 {
-    const Duration limit = survey.bestRemote + spreadMargin;
-    return survey.local ? std::min(limit, survey.localWait - spilloverMargin - Duration(1)) : limit;
+    const Duration limit = survey.lowestRemoteCost + spreadMargin;
+    return survey.local ? std::min(limit, survey.localCost - spilloverMargin - Duration(1)) : limit;
 }
 
 /** Selects a remote pool with a cost of at most @p limit at random, weighted by free capacity, in one pass. */
-std::optional<std::size_t> pick(std::span<const PoolSummary> pools, const PoolQuery &query, Duration limit, std::mt19937_64 &random)
+std::optional<std::size_t> pickRemotePool(std::span<const PoolSummary> pools, const PoolQuery &query, Duration limit, std::mt19937_64 &random)
 {
     std::optional<std::size_t> chosen;
     double total = 0;
@@ -122,12 +122,12 @@
     if (survey.candidates == 0) {
         return std::nullopt;
     }
-    if (survey.local && (survey.bestRemote == Duration::max() || survey.localWait - survey.bestRemote <= spilloverMargin)) {
-        return PoolChoice{*survey.local, PoolReason::Local, survey.localWait, survey.candidates};
+    if (survey.local && (survey.lowestRemoteCost == Duration::max() || survey.localCost - survey.lowestRemoteCost <= spilloverMargin)) {
+        return PoolChoice{*survey.local, PoolReason::Local, survey.localCost, survey.candidates};
     }
-    const Duration limit = remoteWaitLimit(survey);
-    const auto first = pick(pools, query, limit, random);
-    const auto second = pick(pools, query, limit, random);
+    const Duration limit = remoteCostLimit(survey);
+    const auto first = pickRemotePool(pools, query, limit, random);
+    const auto second = pickRemotePool(pools, query, limit, random);
     if (!first || !second) {
         return std::nullopt;
     }
--- a/tests/routing/routing.cpp
+++ b/tests/routing/routing.cpp
@@ -154,10 +154,10 @@
                 }
             }
             // Penalties that differ by less than the margins allow the local pool or several remote ones; most adapters have one pool.
-            const auto oneHome = std::count_if(chosen.begin(), chosen.end(), [](const auto &entry) {
+            const auto loadedInOnePool = std::count_if(chosen.begin(), chosen.end(), [](const auto &entry) {
                 return entry.second.size() == 1;
             });
-            REQUIRE(oneHome > 100);
+            REQUIRE(loadedInOnePool > 100);
         }
         SECTION("and the only pool with the adapter is found")
         {
