--- a/src/admission/bucketowner.cpp
+++ b/src/admission/bucketowner.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Holders without a session are removed after this time. No request may run longer, so that no refund is left to report.
+// Holders without a session are removed after this time. No request may run longer, so a removed holder has no refund left to
+// report.
 constexpr Duration holderRetention = seconds(600);
 
 void applyRaisedShare(BucketOwner &owner, TimePoint now)
@@ -42,7 +43,7 @@
     bucket.burst = burst;
     const Tokens newCapacity = capacity(owner, bucket);
     if (newCapacity < oldCapacity) {
-        // Reduced in proportion, as holders reduce their leases, so that all of them together fit the new capacity.
+        // Reduced in proportion, as holders reduce their leases, so that the level and all leases together fit the new capacity.
         bucket.level *= newCapacity / oldCapacity;
     }
 }
--- a/src/admission/bucketserve.cpp
+++ b/src/admission/bucketserve.cpp
@@ -10,7 +10,7 @@
 // that wait for the refill.
 constexpr Duration pushInterval = milliseconds(50);
 
-// Minimum interval between recalls to one holder. It answers within a round trip, so that more frequent recalls only repeat the first.
+// Minimum interval between recalls to one holder. The holder answers within a round trip, so more frequent recalls only repeat the first.
 constexpr Duration recallInterval = milliseconds(100);
 
 // Recall interval for a holder of less than smallHoldingPart of the unmet need, whose tokens hardly shorten the wait.
--- a/src/admission/buckettransfer.cpp
+++ b/src/admission/buckettransfer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Interval between transfer requests. Limits the refill that a full bucket loses before tokens move to an emptier one, at about
+// Interval between transfer requests. Limits the refill that a full bucket loses before its tokens move to an emptier one; the cost is about
 // 20 messages a second.
 constexpr Duration transferInterval = milliseconds(100);
 
@@ -31,7 +31,7 @@
     peer.pending.clear();
 }
 
-/** Room for a transfer less the refill until the timeout, so that an unanswered request does not delay the refill. */
+/** Tokens to request from a peer: the free room less the refill until the timeout, so that an unanswered request does not delay the refill. */
 Tokens roomOf(const BucketOwner &owner, const Bucket &bucket)
 {
     const Tokens fill = bucket.rate * owner.share * toSeconds(transferTimeout);
--- a/src/admission/leasemessages.cpp
+++ b/src/admission/leasemessages.cpp
@@ -42,7 +42,7 @@
         wish.target = std::max(held, wish.need + prefetch);
         result.needsAnswer = result.needsAnswer || wish.target > held + tokenTolerance;
         const Tokens used = lease.use.spent + lease.use.returned;
-        // A withdrawn need must reach the owner in a request.
+        // The owner still serves the need that it could not meet, and only a request can change or withdraw that need.
         result.needsAnswer = result.needsAnswer || lease.unmet > tokenTolerance;
         lease.requestedNeed = used + wish.need;
         lease.requestedTarget = used + wish.target;
--- a/src/admission/leaseplan.cpp
+++ b/src/admission/leaseplan.cpp
@@ -38,11 +38,12 @@
 // The same for other failure domains, which only supplement the home bucket.
 constexpr Duration remoteRequestInterval = milliseconds(300);
 
-// Tokens are requested from another failure domain if it can grant at least this part of them. Smaller amounts arrive through
+// Tokens are requested from another failure domain if it can grant at least this part of the missing ones. Smaller amounts arrive through
 // transfers between buckets, with fewer messages.
 constexpr double minimumUsefulPart = 0.5;
 
-// When a call has waited for half of its time, any amount is requested, but from at most this many failure domains at once.
+// After half of the time between the arrival and the deadline of a call, any amount is requested, but from at most this many failure domains
+// at once.
 constexpr std::size_t maximumUrgentDomains = 6;
 
 std::uint64_t ageClassOf(const WaitingCall &call, TimePoint now)
@@ -51,7 +52,7 @@
     return static_cast<std::uint64_t>(std::bit_width(static_cast<std::uint64_t>(age))) + 1;
 }
 
-// Counts only calls in the age class of the first one, so that a long queue at one instance does not overtake older calls at others.
+// Counts only calls in the age class of the first waiting call, so that a long queue at one instance does not overtake older calls at others.
 Tokens urgentNeed(const LeaseAccount &account, TimePoint now)
 {
     Tokens need = 0;
@@ -94,7 +95,7 @@
     const Tokens wanted = used + (extraNeed > tokenTolerance ? availableIn(lease) + extraNeed : 0);
     const bool more = extraNeed > tokenTolerance && wanted > lease.requestedNeed + tokenTolerance;
     const bool less = lease.unmet > tokenTolerance && wanted < lease.requestedNeed - tokenTolerance;
-    // A bucket owner that is short of tokens need not hear of every new call; the first tick after the interval reports them together.
+    // A bucket owner that is short of tokens is not told of every new call; the first tick after the interval reports them together.
     const bool tooSoon = lease.unmet > tokenTolerance && now - lease.requestedAt < interval;
     if ((more || less) && !tooSoon) {
         // While the home bucket is short, requests for several accounts share the message of the next tick.
@@ -209,7 +210,8 @@
     double refillRate = 0;
     bool anyOwnerKnown = false;
     for (const LeaseSource &source : leases.sources) {
-        // An unreachable home owner has crashed and will be replaced, so calls wait for its successor. Other owners are partitioned off.
+        // An unreachable home owner has crashed and will be replaced, so calls wait for its successor. Other unreachable owners are behind a
+        // partition, so their buckets do not count.
         const bool unreachable = isUnreachable(source, now) && !isHome(leases, source);
         anyOwnerKnown = anyOwnerKnown || !source.retired;
         if (source.retired || unreachable) {
--- a/src/admission/quotaleases.cpp
+++ b/src/admission/quotaleases.cpp
@@ -27,7 +27,7 @@
 constexpr Duration prefetchInterval = milliseconds(50);
 
 // Error of the estimated wait, which omits tokens in transit between buckets (up to 250 ms) and unreported use (100 ms). A call that
-// would miss its deadline by less waits, so that the error cannot cause a wrong early refusal.
+// would miss its deadline by less than this waits, so that the error cannot cause a wrong early refusal.
 constexpr Duration estimateError = milliseconds(350);
 
 void refuse(LeaseActions &out, RequestId id, RefusalReason reason, std::optional<Duration> retryAfter)
@@ -127,7 +127,7 @@
     if (added > 0) {
         lease.granted = item.granted;
         if (grant.configuration < account->second.loweredInVersion) {
-            // Granted under a larger capacity than the one in effect here.
+            // Granted under a larger capacity than the one in effect here, so the added tokens are returned.
             lease.use.returned += added;
             queueChange(source, item.account, lease);
         }
--- a/src/routing/poolchoice.cpp
+++ b/src/routing/poolchoice.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Usable pools, as found in one pass. */
+/** Result of one pass over the usable pools. A cost is the expected wait plus the placement penalty. */
 struct PoolSurvey
 {
     std::optional<std::size_t> local;
--- a/src/routing/routingindex.cpp
+++ b/src/routing/routingindex.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Marks the table entry for a name without a version.
+// Marks the table entry for a name without a version, which resolves to the default version.
 constexpr std::uint32_t defaultFlag = 0x8000'0000U;
 
 // Keeps the hash of a name without a version distinct from the hashes of names with one.
@@ -73,7 +73,8 @@
 {
     const auto &routes = index.configuration->routes;
     std::string_view key = path;
-    // The greatest prefix not after the key either matches or shares only a part of the key, which becomes the next, shorter key.
+    // The last prefix that sorts at or before the key either matches the path or shares only a first part with the key, which becomes the next,
+    // shorter key.
     for (;;) {
         const auto after = std::upper_bound(index.routeOrder.begin(), index.routeOrder.end(), key, [&routes](std::string_view text, std::uint32_t position) {
             return text < routes[position].prefix;
--- a/tests/admission/quotaleases.cpp
+++ b/tests/admission/quotaleases.cpp
@@ -218,7 +218,7 @@
     fleet.advance(seconds(5));
     const TimePoint start = fleet.now;
     QuotaLeases &leases = fleet.instances[0].leases;
-    // The simulated network also carries the load account; waiting calls are counted when they run.
+    // The simulated network also carries messages of the load account. A waiting call is added to ranLoads when it runs.
     while (fleet.now < start + seconds(5)) {
         if (leases.accounts[loadAccount].waiting.empty()) {
             fleet.callAccount(0, loadAccount, loadCost, seconds(10));
--- a/tests/admission/tokencodec.cpp
+++ b/tests/admission/tokencodec.cpp
@@ -44,7 +44,7 @@
             REQUIRE((decoded.index() == 1 || std::get<TokenRequest>(decoded) == request));
         }
     }
-    SECTION("amounts that are not finite or negative are refused")
+    SECTION("negative, infinite and NaN amounts are refused")
     {
         for (const double amount : {-1.0, std::nan(""), std::numeric_limits<double>::infinity()}) {
             TokenGrant invalid = grant;
