--- a/src/scheduling/loads.cpp
+++ b/src/scheduling/loads.cpp
@@ -22,7 +22,7 @@
 // when the deadline is distant.
 constexpr Duration longestLoadDelay = seconds(10);
 // Limits the shift that computes the retry delay. The delay reaches loadRetryLongest after far fewer doublings.
-constexpr std::uint16_t mostDoublings = 16;
+constexpr std::uint16_t maximumDoublings = 16;
 
 /** An adapter that should be loaded, with the waiting request that determines its rank. */
 struct LoadCandidate
@@ -81,10 +81,10 @@
 {
     LoadCandidate best;
     std::uint32_t adapters = 0;
-    std::uint32_t urgent = 0; /**< Number of adapters whose request is from an organisation with a short queue. */
+    std::uint32_t urgent = 0; /**< Number of adapters whose LoadCandidate::record is from an organisation with a short queue. */
 };
 
-/** Adapters that wait for a load and may be loaded now, except those in @p skipped, for which no server was found. */
+/** Counts the adapters that need a load now, except those in @p skipped, for which no server was found, and ranks them. */
 LoadDemand findDemand(const PoolState &state, const std::vector<AdapterId> &skipped, TimePoint now)
 {
     LoadDemand demand;
@@ -209,9 +209,9 @@
 void recordLoadFailure(PoolState &state, AdapterId adapter, std::uint32_t server, TimePoint now)
 {
     AdapterState &failed = adapterState(state, adapter);
-    const Duration delay = state.settings.loadRetryFirst * (1U << std::min(failed.failures, mostDoublings));
+    const Duration delay = state.settings.loadRetryFirst * (1U << std::min(failed.failures, maximumDoublings));
     failed.retryAt = now + std::min(delay, state.settings.loadRetryLongest);
-    failed.failures = static_cast<std::uint16_t>(std::min(failed.failures + 1, static_cast<int>(mostDoublings)));
+    failed.failures = static_cast<std::uint16_t>(std::min(failed.failures + 1, static_cast<int>(maximumDoublings)));
     failed.failedServer = static_cast<std::uint16_t>(server);
 }
 
--- a/src/scheduling/ownership.cpp
+++ b/src/scheduling/ownership.cpp
@@ -65,7 +65,7 @@
     request.maximumOutputTokens = held.estimatedTokens;
     request.deadline = held.deadline;
     ++organisationState(state, held.organisation).running;
-    static_cast<void>(adapterState(state, held.adapter));
+    static_cast<void>(adapterState(state, held.adapter)); // adds the adapter to the table if it is new
     const std::uint32_t position = newRecord(state, request, now);
     RequestRecord &record = state.records[position];
     const std::uint32_t serverPosition = addServer(state, held.server);
--- a/src/scheduling/queue.cpp
+++ b/src/scheduling/queue.cpp
@@ -110,35 +110,35 @@
 
 void enqueue(PoolState &state, std::uint32_t record)
 {
-    RequestRecord &entered = state.records[record];
-    AdapterState &adapter = adapterState(state, entered.request.adapter);
-    OrganisationState &organisation = organisationState(state, entered.request.organisation);
+    RequestRecord &added = state.records[record];
+    AdapterState &adapter = adapterState(state, added.request.adapter);
+    OrganisationState &organisation = organisationState(state, added.request.organisation);
     ++organisation.waiting;
     ++state.waiting;
-    entered.phase = RequestPhase::Waiting;
-    entered.previous = noIndex;
-    entered.next = adapter.firstWaiting;
+    added.phase = RequestPhase::Waiting;
+    added.previous = noIndex;
+    added.next = adapter.firstWaiting;
     if (adapter.firstWaiting != noIndex) {
         state.records[adapter.firstWaiting].previous = record;
     }
     adapter.firstWaiting = record;
     if (adapter.waiting++ == 0) {
         adapter.waitingPosition = static_cast<std::uint32_t>(state.waitingAdapters.size());
-        state.waitingAdapters.push_back(number(entered.request.adapter));
+        state.waitingAdapters.push_back(number(added.request.adapter));
     }
 }
 
 void dequeue(PoolState &state, std::uint32_t record) noexcept
 {
-    RequestRecord &left = state.records[record];
-    AdapterState &adapter = state.adapters[number(left.request.adapter)];
-    (left.previous == noIndex ? adapter.firstWaiting : state.records[left.previous].next) = left.next;
-    if (left.next != noIndex) {
-        state.records[left.next].previous = left.previous;
+    RequestRecord &removed = state.records[record];
+    AdapterState &adapter = state.adapters[number(removed.request.adapter)];
+    (removed.previous == noIndex ? adapter.firstWaiting : state.records[removed.previous].next) = removed.next;
+    if (removed.next != noIndex) {
+        state.records[removed.next].previous = removed.previous;
     }
-    left.next = noIndex;
-    left.previous = noIndex;
-    --state.organisations[number(left.request.organisation)].waiting;
+    removed.next = noIndex;
+    removed.previous = noIndex;
+    --state.organisations[number(removed.request.organisation)].waiting;
     --state.waiting;
     if (--adapter.waiting == 0) {
         const std::uint32_t last = state.waitingAdapters.back();
--- a/src/serving/pools.cpp
+++ b/src/serving/pools.cpp
@@ -327,7 +327,7 @@
             carryOut(state, pool->pool, decided, now, actions);
         }
     } else if (std::holds_alternative<scheduling::GrantReport>(pool->body)) {
-        state.reportedFencing[pool->pool] = 0;
+        state.reportedFencing[pool->pool] = 0; // the report is sent again after the next summary
     }
     static_cast<void>(peer);
 }
