--- a/tests/coordination/fleet.cpp
+++ b/tests/coordination/fleet.cpp
@@ -61,7 +61,7 @@
 
 // Guards against a control plane that does not recover after crashes and partitions, lets two instances own a pool at once, or
 // acknowledges a change while an instance with a valid freshness lease has not applied it.
-TEST_CASE("Control plane of seven instances in three failure domains")
+TEST_CASE("A fleet of seven instances in three failure domains")
 {
     FakeFleet fleet(smallBundle());
     fleet.run(seconds(12));
